--- a/cmd/refuge/main.go
+++ b/cmd/swiftswitch/main.go
@@ -1,4 +1,4 @@
-// Command refuge runs a node of swiftswitch and helps to operate it.
+// Command swiftswitch runs a node of swiftswitch and helps to operate it.
 package main
 
 import (
@@ -14,10 +14,10 @@
 	"time"
 
 	"github.com/spf13/cobra"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/events"
 	"swiftswitch/internal/lodge"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/transport"
 )
 
 // Exit codes.
@@ -36,16 +36,16 @@
 
 func main() {
 	root := &cobra.Command{
-		Use: "refuge", Short: "A search front over sharded indexes",
+		Use: "swiftswitch", Short: "A search front over sharded indexes",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(runCmd(), checkCmd(), configCmd(), purgeCmd(), rolloutCmd(), statusCmd(), eventsCmd())
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "refuge:", err)
+		fmt.Fprintln(os.Stderr, "swiftswitch:", err)
 		if e, ok := err.(exit); ok {
 			os.Exit(e.code)
 		}
-		fmt.Fprintln(os.Stderr, "see 'refuge help'")
+		fmt.Fprintln(os.Stderr, "see 'swiftswitch help'")
 		os.Exit(exitUsage)
 	}
 }
@@ -64,7 +64,7 @@
 				}
 				opt.Role = a[0]
 			}
-			logbook.SetDebug(debug)
+			events.SetDebug(debug)
 			if err := opt.Check(); err != nil {
 				return exit{exitUsage, err}
 			}
@@ -85,7 +85,7 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&settings, "settings", signpost.SettingsPath(), "settings file (YAML)")
+	f.StringVar(&settings, "settings", config.SettingsPath(), "settings file (YAML)")
 	f.StringVar(&dir, "data", "", "data directory in place of the settings' DataDirectory")
 	f.StringVar(&profile, "cpu-profile", "", "write a processor profile to this file at the end")
 	f.BoolVar(&debug, "debug", false, "log events of level debug too")
@@ -126,11 +126,11 @@
 	c := &cobra.Command{Use: "check", Short: "Check a settings file or a configuration"}
 	c.AddCommand(
 		&cobra.Command{Use: "settings [FILE]", Short: "Check a settings file", Args: cobra.MaximumNArgs(1), RunE: func(_ *cobra.Command, a []string) error {
-			path := signpost.SettingsPath()
+			path := config.SettingsPath()
 			if len(a) > 0 {
 				path = a[0]
 			}
-			s, err := signpost.LoadSettings(path)
+			s, err := config.LoadSettings(path)
 			if err != nil {
 				return exit{exitBad, err}
 			}
@@ -142,7 +142,7 @@
 			if err != nil {
 				return exit{exitBad, err}
 			}
-			conf, err := signpost.ParseConfiguration(raw)
+			conf, err := config.ParseConfiguration(raw)
 			if err != nil {
 				return exit{exitBad, err}
 			}
@@ -161,8 +161,8 @@
 }
 
 // callNode sends one of the operator's calls; only 200 is a success.
-func callNode(node, method, path string, hd map[string]string, body []byte, within time.Duration) (rope.Reply, error) {
-	rep, err := rope.NewClient(1, within, within, 64<<20).Call(node, method, path, hd, body, within)
+func callNode(node, method, path string, hd map[string]string, body []byte, within time.Duration) (transport.Reply, error) {
+	rep, err := transport.NewClient(1, within, within, 64<<20).Call(node, method, path, hd, body, within)
 	if err != nil {
 		return rep, exit{exitRemote, fmt.Errorf("%s can't be reached: %w; try another node", node, err)}
 	}
@@ -180,7 +180,7 @@
 	c.PersistentFlags().StringVar(&node, "node", "", "address of any node (host:port of control or of the port between nodes)")
 	c.PersistentFlags().DurationVar(&within, "within", 10*time.Second, "how long to wait")
 	_ = c.MarkPersistentFlagRequired("node")
-	call := func(method string, hd map[string]string, body []byte) (rope.Reply, error) {
+	call := func(method string, hd map[string]string, body []byte) (transport.Reply, error) {
 		return callNode(node, method, "/-/configuration", hd, body, within)
 	}
 	c.AddCommand(&cobra.Command{Use: "get", Short: "Print the newest configuration", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -210,11 +210,11 @@
 		c.AddCommand(x)
 	}
 	change("put FILE", "Put a whole configuration in force", "PUT", func(raw []byte) error {
-		_, err := signpost.ParseConfiguration(raw)
+		_, err := config.ParseConfiguration(raw)
 		return err
 	})
 	change("patch FILE", "Change named items of the configuration", "PATCH", func(raw []byte) error {
-		_, err := signpost.ParsePatch(raw)
+		_, err := config.ParsePatch(raw)
 		return err
 	})
 	return c
@@ -234,7 +234,7 @@
 		if err != nil {
 			return exit{exitBad, err}
 		}
-		if _, err := signpost.ParsePurge(raw); err != nil {
+		if _, err := config.ParsePurge(raw); err != nil {
 			return exit{exitBad, err}
 		}
 		if _, err := callNode(node, "POST", "/-/purge", nil, raw, within); err != nil {
@@ -274,11 +274,11 @@
 	}
 	var seconds float64
 	start := &cobra.Command{Use: "start SERVICE VERSION", Short: "Order a rollout", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, a []string) error {
-		raw, err := json.Marshal(signpost.RolloutOrder{Service: a[0], TargetVersion: a[1], DurationS: seconds})
+		raw, err := json.Marshal(config.RolloutOrder{Service: a[0], TargetVersion: a[1], DurationS: seconds})
 		if err != nil {
 			return exit{exitBad, err}
 		}
-		if _, err := signpost.ParseRollout(raw); err != nil {
+		if _, err := config.ParseRollout(raw); err != nil {
 			return exit{exitBad, err}
 		}
 		if _, err := callNode(node, "POST", "/-/rollouts", nil, raw, within); err != nil {
@@ -318,10 +318,10 @@
 	var md bool
 	c := &cobra.Command{Use: "events [NUMBER]", Short: "Explain the numbered events of the log", Args: cobra.MaximumNArgs(1), RunE: func(_ *cobra.Command, a []string) error {
 		if md {
-			fmt.Print("# Events\n\nPrinted by `refuge events --markdown`.\n\n| number | name | level | meaning |\n|---|---|---|---|\n")
+			fmt.Print("# Events\n\nPrinted by `swiftswitch events --markdown`.\n\n| number | name | level | meaning |\n|---|---|---|---|\n")
 		}
 		found := false
-		for _, e := range logbook.Catalogue {
+		for _, e := range events.Catalogue {
 			if len(a) > 0 && a[0] != strconv.Itoa(int(e.Event)) && a[0] != "E"+strconv.Itoa(int(e.Event)) {
 				continue
 			}
--- a/examples/hollow/main.go
+++ b/examples/hollow/main.go
@@ -18,10 +18,10 @@
 	"sync"
 	"time"
 
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/events"
 	"swiftswitch/internal/lodge"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
 )
 
 // most bounds the fronts of one process.
@@ -103,7 +103,7 @@
 	if *fronts < 1 || *fronts > most || *searchers < 1 || *shards < 1 || *page < 1 {
 		log.Fatalf("--fronts must be from 1 to %d, --searchers, --shards and --page above 0", most)
 	}
-	s, err := signpost.LoadSettings(*settings)
+	s, err := config.LoadSettings(*settings)
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	if len(zones) == 0 {
 		zones = []string{s.Zone}
 	}
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	var huts []int
 	for _, p := range strings.Split(*pids, ",") {
 		if n, err := strconv.Atoi(p); err == nil {
@@ -132,7 +132,7 @@
 		if h, err = lodge.StartHollow(s, *fronts, lodge.DefaultOptions()); err != nil {
 			log.Fatal(err)
 		}
-		wait("all fronts ready", begun, func() bool { ready, _ := h.Ready(0, hutbook.Stamp{}); return ready == *fronts })
+		wait("all fronts ready", begun, func() bool { ready, _ := h.Ready(0, endpoints.Stamp{}); return ready == *fronts })
 	})
 	runtime.ReadMemStats(&mem)
 	fmt.Printf("a front: %.2f MB of this process's heap\n", float64(mem.HeapInuse)/(1<<20)/float64(*fronts))
--- a/internal/larder/doc.go
+++ b/internal/cache/doc.go
@@ -3,4 +3,4 @@
 // next. Everything here is a state machine that knows no clock, no disk and no
 // network. In the field's terms: a shared HTTP cache (RFC 9111) with
 // invalidation by path and by surrogate key, and request collapsing.
-package larder
+package cache
--- a/internal/larder/larder_test.go
+++ b/internal/cache/larder_test.go
@@ -1,4 +1,4 @@
-package larder
+package cache
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/diary"
+	"swiftswitch/internal/tracetest"
 )
 
 // kept is a node that keeps copies: what a trace is played against. Times are
@@ -101,7 +101,7 @@
 }
 
 func TestTraces(t *testing.T) {
-	diary.Play(t, 7, func() func([]string) error { return (&kept{}).play })
+	tracetest.Play(t, 7, func() func([]string) error { return (&kept{}).play })
 }
 
 // One copy answers the whole, ranges and conditions as RFC 9110 has it.
--- a/internal/larder/notices.go
+++ b/internal/cache/notices.go
@@ -1,13 +1,13 @@
-package larder
+package cache
 
 import (
 	"strings"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 // Purge is one notice, as it was agreed on: an object by host and path, or a tag.
-type Purge = cairn.Purge
+type Purge = consensus.Purge
 
 // Notices is what a node knows of the purges: the number of the last one, and
 // for each name the last that named it. Purges up to Floor are known to nobody
--- a/internal/larder/stove.go
+++ b/internal/cache/stove.go
@@ -1,4 +1,4 @@
-package larder
+package cache
 
 import "time"
 
--- a/internal/signpost/between.go
+++ b/internal/config/between.go
@@ -1,4 +1,4 @@
-package signpost
+package config
 
 import (
 	"bytes"
--- a/internal/signpost/doc.go
+++ b/internal/config/doc.go
@@ -2,6 +2,6 @@
 // file (YAML) and the operator's configuration (JSON). Both are protobuf
 // messages read through protojson. In the field's terms: configuration
 // parsing and validation.
-package signpost
+package config
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative signpost.proto
--- a/internal/cairn/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 // Ask is a proposer's message: Prepare without a Value, Accept with one.
 type Ask struct {
--- a/internal/cairn/doc.go
+++ b/internal/consensus/doc.go
@@ -8,4 +8,4 @@
 // Only the newest state matters to anybody, so the decided slots are kept
 // folded into one State instead of a log; a node that is behind takes the
 // State of another whole.
-package cairn
+package consensus
--- a/internal/cairn/keeper.go
+++ b/internal/consensus/keeper.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 // Ballots is the acceptor's part that changes with every round, as it goes to disk.
 type Ballots struct {
--- a/internal/cairn/model_checks_test.go
+++ b/internal/consensus/model_checks_test.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/cairn/model_faults_test.go
+++ b/internal/consensus/model_faults_test.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/diary"
+	"swiftswitch/internal/tracetest"
 )
 
 var modelKeep = flag.String("model.keep", "", "a directory: the planted bugs' shortest traces are written there")
@@ -88,7 +88,7 @@
 //	machines N
 //	breaks WORDS    the end: what the planted bug must have broken, if there is one
 func TestModelTraces(t *testing.T) {
-	diary.PlayIn(t, "testdata/model", 15, func() func([]string) error {
+	tracetest.PlayIn(t, "testdata/model", 15, func() func([]string) error {
 		var real, bad *model
 		plant := faultNone
 		return func(f []string) error {
--- a/internal/cairn/proposer.go
+++ b/internal/consensus/proposer.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 // Stage is how far a proposer is with its slot.
 type Stage int
--- a/internal/cairn/rollout.go
+++ b/internal/consensus/rollout.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 // Phase is how far a rollout is.
 type Phase string
--- a/internal/cairn/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -1,4 +1,4 @@
-package cairn
+package consensus
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"swiftswitch/internal/diary"
+	"swiftswitch/internal/tracetest"
 )
 
 // world holds acceptors and proposers; a trace says which message arrives when.
@@ -129,7 +129,7 @@
 }
 
 func TestTraces(t *testing.T) {
-	diary.Play(t, 13, func() func([]string) error { return newWorld("a,b,c").play })
+	tracetest.Play(t, 13, func() func([]string) error { return newWorld("a,b,c").play })
 }
 
 // Whatever is lost, doubled or late, one slot never decides two values.
--- a/internal/barometer/barometer.go
+++ b/internal/cusum/barometer.go
@@ -1,7 +1,7 @@
 // Package barometer holds control charts: generalized cumulative sums (GCUSUM)
 // with a limit that depends on how long a sum has been above zero. The charts
 // are pure; docs/design.md names their source.
-package barometer
+package cusum
 
 import (
 	"errors"
--- a/internal/barometer/barometer_test.go
+++ b/internal/cusum/barometer_test.go
@@ -1,4 +1,4 @@
-package barometer
+package cusum
 
 import (
 	"math/rand/v2"
--- a/internal/hutbook/hutbook_test.go
+++ b/internal/endpoints/hutbook_test.go
@@ -1,4 +1,4 @@
-package hutbook
+package endpoints
 
 import (
 	"reflect"
--- a/internal/logbook/logbook.go
+++ b/internal/events/logbook.go
@@ -1,4 +1,4 @@
-package logbook
+package events
 
 import (
 	"fmt"
--- a/internal/trailhead/across.go
+++ b/internal/frontend/across.go
@@ -1,18 +1,18 @@
-package trailhead
+package frontend
 
 import (
 	"time"
 
-	"swiftswitch/internal/gather"
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/upstream"
 )
 
 // Caller carries a call to another front.
-type Caller func(ip string, ask saddle.Ask, say *saddle.Say, within time.Duration) error
+type Caller func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error
 
 // SetAcross lets gathered requests go by way of fronts in other zones.
-func (h *Head) SetAcross(c *saddle.Choice, call Caller) { h.choice, h.call = c, call }
+func (h *Head) SetAcross(c *relay.Choice, call Caller) { h.choice, h.call = c, call }
 
 // crossing is one request's way across.
 type crossing struct {
@@ -21,7 +21,7 @@
 }
 
 // across is nil where the request is none that another front may gather for.
-func (h *Head) across(v *visit) gather.Across {
+func (h *Head) across(v *visit) scatter.Across {
 	if h.choice == nil || len(v.route.Gathered) < 2 || !v.req.Plain() {
 		return nil
 	}
@@ -38,13 +38,13 @@
 	version, req, until := v.snap.Map.Version, v.req, v.times.Until
 	return func(legs []int, wait time.Duration) ([]string, []byte) {
 		left := time.Until(until)
-		ask := saddle.Ask{
+		ask := relay.Ask{
 			Version: version, Shards: legs, Head: req.Head(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(),
 		}
-		var say saddle.Say
+		var say relay.Say
 		err := c.h.call(front.IP, ask, &say, min(left, 3*wait))
 		c.h.choice.Done(front.IP, err == nil, time.Now())
-		if err != nil || len(say.Stamps) != len(legs) || len(say.Records)%gather.RecordSize != 0 {
+		if err != nil || len(say.Stamps) != len(legs) || len(say.Records)%scatter.RecordSize != 0 {
 			return make([]string, len(legs)), nil
 		}
 		return say.Stamps, say.Records
@@ -54,24 +54,24 @@
 // Lend gathers some shards for another front. It asks one searcher of each
 // and answers with what is in when the wait is over; false means that this
 // node does not hold the same version.
-func (h *Head) Lend(a saddle.Ask) (saddle.Say, bool) {
+func (h *Head) Lend(a relay.Ask) (relay.Say, bool) {
 	start := time.Now()
 	snap := h.now.Load()
 	if snap == nil || h.leave.Load() || snap.Map.Version != a.Version || a.LeftMs <= 0 || len(a.Shards) == 0 {
-		return saddle.Say{}, false
+		return relay.Say{}, false
 	}
-	req, ok := traverse.Lent(a.Head)
+	req, ok := upstream.Lent(a.Head)
 	if !ok {
-		return saddle.Say{}, false
+		return relay.Say{}, false
 	}
 	route := snap.Map.Match(req.Host, req.Target)
 	if route == nil {
-		return saddle.Say{}, false
+		return relay.Say{}, false
 	}
-	var legs []*gather.Leg
+	var legs []*scatter.Leg
 	for _, i := range a.Shards {
 		if i < 0 || i >= len(route.Gathered) {
-			return saddle.Say{}, false
+			return relay.Say{}, false
 		}
 		legs = append(legs, snap.leg(route.Gathered[i], h.steadyWay(snap, route.Gathered[i])))
 	}
@@ -81,10 +81,10 @@
 	defer h.busy.Add(-1)
 	left := time.Duration(a.LeftMs) * time.Millisecond
 	wait := min(left, time.Duration(a.WaitMs)*time.Millisecond)
-	p := gather.NewParty(gather.Terms{Attempts: 1, Safe: true}, legs)
+	p := scatter.NewParty(scatter.Terms{Attempts: 1, Safe: true}, legs)
 	defer p.Release()
-	h.guide.Run(p, req, gather.Times{Start: start, Target: route.Target, Soft: start.Add(wait), Hard: start.Add(wait), Until: start.Add(left), Lent: true}, nil)
-	say := saddle.Say{Stamps: make([]string, len(legs))}
+	h.guide.Run(p, req, scatter.Times{Start: start, Target: route.Target, Soft: start.Add(wait), Hard: start.Add(wait), Until: start.Add(left), Lent: true}, nil)
+	say := relay.Say{Stamps: make([]string, len(legs))}
 	var bodies [][]byte
 	for k, l := range legs {
 		if l.Done {
@@ -92,7 +92,7 @@
 			bodies = append(bodies, l.Good.Records())
 		}
 	}
-	say.Records = gather.Merge(bodies, route.Top)
+	say.Records = scatter.Merge(bodies, route.Top)
 	return say, true
 }
 
--- a/internal/trailhead/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -1,4 +1,4 @@
-package trailhead
+package frontend
 
 import (
 	"bufio"
@@ -14,14 +14,14 @@
 	"time"
 
 	"github.com/panjf2000/ants/v2"
-	"swiftswitch/internal/fork"
-	"swiftswitch/internal/gather"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/larder"
-	"swiftswitch/internal/rations"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/cache"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/transport"
+	"swiftswitch/internal/upstream"
 )
 
 // origin stands in for one searcher: it notes what it runs and answers as reply says.
@@ -64,7 +64,7 @@
 			return
 		}
 		o.mu.Lock()
-		o.runs = append(o.runs, strings.TrimSpace(r.Method+" "+r.RequestURI+" "+r.Header.Get(traverse.HeaderRequestID)+" "+string(body)))
+		o.runs = append(o.runs, strings.TrimSpace(r.Method+" "+r.RequestURI+" "+r.Header.Get(upstream.HeaderRequestID)+" "+string(body)))
 		o.mu.Unlock()
 		if o.reply(c, r) != nil {
 			return
@@ -83,7 +83,7 @@
 
 // whole answers with the request's own id and path.
 func whole(c net.Conn, r *http.Request) error {
-	id, body := r.Header.Get(traverse.HeaderRequestID), r.RequestURI
+	id, body := r.Header.Get(upstream.HeaderRequestID), r.RequestURI
 	if r.Method == "HEAD" {
 		body = ""
 	}
@@ -95,7 +95,7 @@
 func says(status int, lines ...string) func(net.Conn, *http.Request) error {
 	return func(c net.Conn, r *http.Request) error {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%s\r\nContent-Length: 0\r\n\r\n", status,
-			strings.Join(append(lines, "Swiftswitch-Request-Id: "+r.Header.Get(traverse.HeaderRequestID)), "\r\n"))
+			strings.Join(append(lines, "Swiftswitch-Request-Id: "+r.Header.Get(upstream.HeaderRequestID)), "\r\n"))
 		return err
 	}
 }
@@ -109,31 +109,31 @@
 func frontOf(t *testing.T, addrs ...string) (string, *Head) {
 	pool, _ := ants.NewPool(64, ants.WithNonblocking(true))
 	zone := func(i int) string { return strings.Repeat("z", i) }
-	rng := traverse.New(traverse.Options{
+	rng := upstream.New(upstream.Options{
 		Distance: func(z string) int { return min(len(z), 2) }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 20,
 		KeepIdle: time.Minute, FailsOut: 3, OutFor: time.Second, Many: 5, FarPenalty: 9, Forget: time.Second,
 	})
-	var list []hutbook.Searcher
+	var list []endpoints.Searcher
 	for i, a := range addrs {
-		list = append(list, hutbook.Searcher{ID: fmt.Sprint("i", i), Service: "s", Addr: a, Zone: zone(i), Slots: 4})
+		list = append(list, endpoints.Searcher{ID: fmt.Sprint("i", i), Service: "s", Addr: a, Zone: zone(i), Slots: 4})
 	}
-	table, _ := hutbook.Next(nil, list, hutbook.Stamp{Epoch: 1})
+	table, _ := endpoints.Next(nil, list, endpoints.Stamp{Epoch: 1})
 	rng.SetTable(table)
 	born := time.Now()
-	guide := &gather.Guide{Range: rng, Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5,
-		Ledger: rations.New(rations.Rules{Ratio: 1, Slack: 1000, Keep: 1, Young: 1, Window: time.Second}, 0)}
-	var routes []*signpost.Route
+	guide := &scatter.Guide{Range: rng, Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5,
+		Ledger: ratelimit.New(ratelimit.Rules{Ratio: 1, Slack: 1000, Keep: 1, Young: 1, Window: time.Second}, 0)}
+	var routes []*config.Route
 	for _, kind := range []string{"safe", "unsafe", "cached"} {
-		routes = append(routes, &signpost.Route{Name: kind, HostName: "a.example", PathPrefix: "/" + kind + "/", RouteKind: kind, TimeoutMs: 400, Service: "s", Attempts: 3, CacheLifetimeS: 60})
+		routes = append(routes, &config.Route{Name: kind, HostName: "a.example", PathPrefix: "/" + kind + "/", RouteKind: kind, TimeoutMs: 400, Service: "s", Attempts: 3, CacheLifetimeS: 60})
 	}
 	h := New(Options{Soft: 0.9, Hard: 0.97, WriteWithin: 2 * time.Second, Crowd: 50}, guide)
-	h.Set(&Snapshot{Map: fork.Compile(&signpost.Configuration{Version: 1, Services: []*signpost.Service{{Name: "s"}}, Routes: routes}, fork.Limits{Header: 1 << 14, Body: 1 << 22})})
-	ln, ok := rope.Listen("127.0.0.1:0", time.Second, time.Second, nil)
+	h.Set(&Snapshot{Map: routing.Compile(&config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: routes}, routing.Limits{Header: 1 << 14, Body: 1 << 22})})
+	ln, ok := transport.Listen("127.0.0.1:0", time.Second, time.Second, nil)
 	if !ok {
 		t.Fatal("no listener")
 	}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
-	srv := rope.Serve(ln, rope.Listener{MaxHeader: 1 << 14, MaxBody: 1 << 22, UserTimeout: time.Second, Limits: limits}, h.Handle)
+	srv := transport.Serve(ln, transport.Listener{MaxHeader: 1 << 14, MaxBody: 1 << 22, UserTimeout: time.Second, Limits: limits}, h.Handle)
 	t.Cleanup(func() { srv.Close(); ln.Close(); pool.Release() })
 	return ln.Addr().String(), h
 }
@@ -164,7 +164,7 @@
 		if err != nil {
 			return out, err.Error()
 		}
-		out = append(out, got{r.StatusCode, r.Header.Get(traverse.HeaderRequestID), string(b), r.Header.Get(traverse.HeaderStamp)})
+		out = append(out, got{r.StatusCode, r.Header.Get(upstream.HeaderRequestID), string(b), r.Header.Get(upstream.HeaderStamp)})
 	}
 	_ = c.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
 	b, _ := io.ReadAll(in)
@@ -359,9 +359,9 @@
 	name := w.Target[len(w.Target)-1:]
 	body := []byte(strings.Repeat(name, l.sizes[name]))
 	if len(body) == 0 {
-		return Brought{Passed: &larder.Passed{Status: 404, Body: []byte(strings.Repeat(name, 9000))}}
+		return Brought{Passed: &cache.Passed{Status: 404, Body: []byte(strings.Repeat(name, 9000))}}
 	}
-	return Brought{Copy: &larder.Copy{Host: w.Host, Target: w.Target, Service: "s", Body: body, ETag: name, Stamp: name}}
+	return Brought{Copy: &cache.Copy{Host: w.Host, Target: w.Target, Service: "s", Body: body, ETag: name, Stamp: name}}
 }
 
 // One copy goes to many clients at once, whole and in part, from memory that
--- a/internal/trailhead/cached.go
+++ b/internal/frontend/cached.go
@@ -1,4 +1,4 @@
-package trailhead
+package frontend
 
 import (
 	"hash/fnv"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"swiftswitch/internal/larder"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/cache"
+	"swiftswitch/internal/upstream"
 )
 
 // Want is what a front asks a larder for.
@@ -23,8 +23,8 @@
 
 // Brought is what came of a Want.
 type Brought struct {
-	Copy   *larder.Copy
-	Passed *larder.Passed
+	Copy   *cache.Copy
+	Passed *cache.Passed
 	// Status, where neither is set, is the refusal or failure.
 	Status int
 	// Back is when the client may come again.
@@ -39,8 +39,8 @@
 // Pantry is the front's own small shelf.
 type Pantry struct {
 	mu      sync.Mutex
-	shelf   *larder.Shelf
-	notices *larder.Notices
+	shelf   *cache.Shelf
+	notices *cache.Notices
 	flights map[string]*call
 	steady  func() time.Duration
 	bringer Bringer
@@ -53,18 +53,18 @@
 
 // NewPantry makes a shelf for limit bytes.
 func NewPantry(limit int, steady func() time.Duration, b Bringer) *Pantry {
-	return &Pantry{shelf: larder.NewShelf(limit), flights: map[string]*call{}, steady: steady, bringer: b}
+	return &Pantry{shelf: cache.NewShelf(limit), flights: map[string]*call{}, steady: steady, bringer: b}
 }
 
 // noticesKept bounds a front's index of purges.
 const noticesKept = 4096
 
 // Take notes purges.
-func (p *Pantry) Take(seq, floor int64, list []larder.Purge) {
+func (p *Pantry) Take(seq, floor int64, list []cache.Purge) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.notices == nil {
-		p.notices = larder.NewNotices(seq)
+		p.notices = cache.NewNotices(seq)
 		return
 	}
 	p.notices.Take(seq, floor, list)
@@ -82,7 +82,7 @@
 }
 
 // Good tells whether a copy may be served: its age, the purges and the route allow it.
-func (p *Pantry) Good(c *larder.Copy, lifetime time.Duration, sends func(string) bool) bool {
+func (p *Pantry) Good(c *cache.Copy, lifetime time.Duration, sends func(string) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.good(c, lifetime, sends)
@@ -90,7 +90,7 @@
 
 // Vouch is Good, and gives the number of the last purge under which that is
 // so: handed on, the copy counts as known up to there.
-func (p *Pantry) Vouch(c *larder.Copy, lifetime time.Duration, sends func(string) bool) (known int64, ok bool) {
+func (p *Pantry) Vouch(c *cache.Copy, lifetime time.Duration, sends func(string) bool) (known int64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.good(c, lifetime, sends) {
@@ -100,19 +100,19 @@
 }
 
 // Killed tells whether a purge that is known here ended the copy.
-func (p *Pantry) Killed(c *larder.Copy) bool {
+func (p *Pantry) Killed(c *cache.Copy) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.notices == nil || p.notices.Kills(c)
 }
 
-func (p *Pantry) good(c *larder.Copy, lifetime time.Duration, sends func(string) bool) bool {
+func (p *Pantry) good(c *cache.Copy, lifetime time.Duration, sends func(string) bool) bool {
 	return c.Fresh(lifetime, p.steady()) && p.notices != nil && !p.notices.Kills(c) && sends(c.Service)
 }
 
 // get gives the copy, or the call that brings it; first tells whether the
 // caller is the one to make it.
-func (p *Pantry) get(key string, lifetime time.Duration, sends func(string) bool) (c *larder.Copy, fl *call, first bool) {
+func (p *Pantry) get(key string, lifetime time.Duration, sends func(string) bool) (c *cache.Copy, fl *call, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c = p.shelf.Get(key); p.good(c, lifetime, sends) {
@@ -152,7 +152,7 @@
 func (h *Head) cached(v *visit) bool {
 	p, r := h.pantry, v.route
 	service := r.Pick(point(v.req.Host + v.req.Target))
-	key := larder.Key(v.req.Host, v.req.Target)
+	key := cache.Key(v.req.Host, v.req.Target)
 	again := v.spent > 0
 	for tries := 0; ; tries++ {
 		c, fl, first := p.get(key, r.Lifetime, r.Sends)
@@ -220,15 +220,15 @@
 	return float64(f.Sum64()>>11) / (1 << 53)
 }
 
-func (h *Head) fromCopy(v *visit, c *larder.Copy) bool {
+func (h *Head) fromCopy(v *visit, c *cache.Copy) bool {
 	hd := &v.c.Request.Header
-	a := c.Answer(larder.Ask{
+	a := c.Answer(cache.Ask{
 		Method: v.req.Method, Range: string(hd.Peek("Range")), IfRange: string(hd.Peek("If-Range")), IfNoneMatch: string(hd.Peek("If-None-Match")),
 	})
 	out := &v.c.Response
 	out.SetStatusCode(a.Status)
 	h.fields(v, c.Fields)
-	out.Header.Set(traverse.HeaderStamp, c.Stamp)
+	out.Header.Set(upstream.HeaderStamp, c.Stamp)
 	out.Header.Set("ETag", c.ETag)
 	out.Header.Set("Age", strconv.Itoa(int(c.Age(h.pantry.steady())/time.Second)))
 	if a.ContentRange != "" {
@@ -240,17 +240,17 @@
 	return false
 }
 
-func (h *Head) passOn(v *visit, p *larder.Passed) bool {
+func (h *Head) passOn(v *visit, p *cache.Passed) bool {
 	v.c.SetStatusCode(p.Status)
 	h.fields(v, p.Fields)
 	if p.Stamp != "" {
-		v.c.Response.Header.Set(traverse.HeaderStamp, p.Stamp)
+		v.c.Response.Header.Set(upstream.HeaderStamp, p.Stamp)
 	}
 	v.c.Response.SetBodyRaw(p.Body)
 	return false
 }
 
-func (h *Head) fields(v *visit, l []larder.Field) {
+func (h *Head) fields(v *visit, l []cache.Field) {
 	out := &v.c.Response.Header
 	for _, f := range l {
 		switch f.Name {
@@ -264,5 +264,5 @@
 			out.Add(f.Name, f.Value)
 		}
 	}
-	out.Set(traverse.HeaderRequestID, v.req.ID)
+	out.Set(upstream.HeaderRequestID, v.req.ID)
 }
--- a/internal/trailhead/pantry_test.go
+++ b/internal/frontend/pantry_test.go
@@ -1,10 +1,10 @@
-package trailhead
+package frontend
 
 import (
 	"testing"
 	"time"
 
-	"swiftswitch/internal/larder"
+	"swiftswitch/internal/cache"
 )
 
 // A route that was dropped or given to another service ends its copies, and a
@@ -13,7 +13,7 @@
 	now := time.Duration(0)
 	p := NewPantry(100_000, func() time.Duration { return now }, nil)
 	sends := func(s string) bool { return s == "media" }
-	c := &larder.Copy{Host: "h", Target: "/a", Service: "media", ETag: "v1", Known: 3}
+	c := &cache.Copy{Host: "h", Target: "/a", Service: "media", ETag: "v1", Known: 3}
 	if p.Good(c, time.Minute, sends) {
 		t.Fatal("a node that knows no purges serves a copy")
 	}
@@ -35,16 +35,16 @@
 	if known, ok := p.Vouch(c, time.Minute, sends); !ok || known != 3 {
 		t.Fatal("it is not vouched for")
 	}
-	p.Take(4, 0, []larder.Purge{{N: 4, Host: "h", Path: "/b"}})
+	p.Take(4, 0, []cache.Purge{{N: 4, Host: "h", Path: "/b"}})
 	if known, ok := p.Vouch(c, time.Minute, sends); !ok || known != 4 {
 		t.Fatal("a purge of something else counts")
 	}
-	p.Take(5, 0, []larder.Purge{{N: 5, Host: "h", Path: "/a"}})
+	p.Take(5, 0, []cache.Purge{{N: 5, Host: "h", Path: "/a"}})
 	if p.Good(c, time.Minute, sends) || !p.Killed(c) {
 		t.Fatal("a purged copy is served")
 	}
 	now = 2 * time.Minute
-	if p.Good(&larder.Copy{Host: "h", Target: "/c", Service: "media", Known: 5}, time.Minute, sends) {
+	if p.Good(&cache.Copy{Host: "h", Target: "/c", Service: "media", Known: 5}, time.Minute, sends) {
 		t.Fatal("a copy older than its lifetime is served")
 	}
 }
--- a/internal/trailhead/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -1,4 +1,4 @@
-package trailhead
+package frontend
 
 import (
 	"context"
@@ -10,28 +10,28 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/belay"
-	"swiftswitch/internal/fork"
-	"swiftswitch/internal/gather"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/upstream"
 )
 
 // Snapshot is what a request is pinned to: one configuration and the slots
 // of its cut. It is never changed.
 type Snapshot struct {
-	Map *fork.Map
+	Map *routing.Map
 	// Holders names, for each shard of the cut and version of its searchers,
 	// those with a slot.
 	Holders map[string]map[string][]string
 	// Lanes says to which versions of a service's searchers requests may go.
-	Lanes map[string]*belay.Lane
+	Lanes map[string]*rollout.Lane
 }
 
 // leg is the part of a gathered request that goes to a shard: to its holders
 // and to nobody else, even where there are none.
-func (s *Snapshot) leg(shard string, w belay.Way) *gather.Leg {
+func (s *Snapshot) leg(shard string, w rollout.Way) *scatter.Leg {
 	return s.make(shard, w, func(version string) []string {
 		if l := s.Holders[shard][version]; l != nil {
 			return l
@@ -41,26 +41,26 @@
 }
 
 // alone is the one part of a request to a single service: any searcher will do.
-func (s *Snapshot) alone(service string, w belay.Way) *gather.Leg {
+func (s *Snapshot) alone(service string, w rollout.Way) *scatter.Leg {
 	return s.make(service, w, func(string) []string { return nil })
 }
 
-func (s *Snapshot) make(service string, w belay.Way, holders func(version string) []string) *gather.Leg {
-	l := &gather.Leg{Service: service, Version: w.Then, Holders: holders(w.Then)}
+func (s *Snapshot) make(service string, w rollout.Way, holders func(version string) []string) *scatter.Leg {
+	l := &scatter.Leg{Service: service, Version: w.Then, Holders: holders(w.Then)}
 	if w.Once != "" {
-		l.Canary = &traverse.Among{Service: service, Version: w.Once, Holders: holders(w.Once)}
+		l.Canary = &upstream.Among{Service: service, Version: w.Once, Holders: holders(w.Once)}
 	}
 	if w.Else != "" {
-		l.Else = &traverse.Among{Service: service, Version: w.Else, Holders: holders(w.Else)}
+		l.Else = &upstream.Among{Service: service, Version: w.Else, Holders: holders(w.Else)}
 	}
 	return l
 }
 
 // way draws to which version of a service's searchers one request goes.
-func (h *Head) way(s *Snapshot, service string) belay.Way {
+func (h *Head) way(s *Snapshot, service string) rollout.Way {
 	l := s.Lanes[service]
 	if l == nil {
-		return belay.Way{}
+		return rollout.Way{}
 	}
 	if l.Settled() {
 		return l.Way(0, 0, 0, 0)
@@ -70,7 +70,7 @@
 }
 
 // steadyWay is the way of a request that another front counts: no canary.
-func (h *Head) steadyWay(s *Snapshot, service string) belay.Way {
+func (h *Head) steadyWay(s *Snapshot, service string) rollout.Way {
 	w := h.way(s, service)
 	w.Once = ""
 	return w
@@ -101,7 +101,7 @@
 // Head serves clients.
 type Head struct {
 	opt   Options
-	guide *gather.Guide
+	guide *scatter.Guide
 	now   atomic.Pointer[Snapshot]
 	leave atomic.Bool
 	// ending is closed when a leaving node answers what still waits here.
@@ -114,13 +114,13 @@
 	longest sync.Map
 	lent    atomic.Int64
 
-	choice *saddle.Choice
+	choice *relay.Choice
 	call   Caller
 	pantry *Pantry
 }
 
 // New makes a head without a snapshot; until it has one it refuses.
-func New(o Options, g *gather.Guide) *Head {
+func New(o Options, g *scatter.Guide) *Head {
 	h := &Head{opt: o, guide: g, first: make(chan struct{}), ending: make(chan struct{})}
 	h.chain = []filter{h.pin, h.bound, h.read, h.route, h.times, h.serve}
 	return h
@@ -150,9 +150,9 @@
 	c     *app.RequestContext
 	start time.Time
 	snap  *Snapshot
-	req   *traverse.Request
-	route *fork.Route
-	times gather.Times
+	req   *upstream.Request
+	route *routing.Route
+	times scatter.Times
 	// spent is how long ago, as far as is known, the client first asked.
 	spent time.Duration
 	// last: the connection ends with this answer.
@@ -240,9 +240,9 @@
 // read checks the request strictly: nothing doubtful reaches a searcher.
 func (h *Head) read(v *visit) bool {
 	hd := &v.c.Request.Header
-	req, err := traverse.NewRequest(string(hd.Method()), string(hd.RequestURI()), hd.RawHeaders(), v.c.Request.Body())
+	req, err := upstream.NewRequest(string(hd.Method()), string(hd.RequestURI()), hd.RawHeaders(), v.c.Request.Body())
 	if err != nil || !hd.IsHTTP11() {
-		logbook.Log(logbook.RequestRefused, "err", err)
+		events.Log(events.RequestRefused, "err", err)
 		v.last = true
 		return h.refuse(v, 400, "malformed request")
 	}
@@ -273,7 +273,7 @@
 	if v.spent = h.since(v); v.spent < soft {
 		soft -= v.spent
 	}
-	v.times = gather.Times{
+	v.times = scatter.Times{
 		Start: v.start, Target: v.route.Target,
 		Soft:  v.start.Add(soft),
 		Hard:  v.start.Add(time.Duration(float64(limit) * h.opt.Hard)),
@@ -304,8 +304,8 @@
 	if r.Cached && h.pantry != nil && (v.req.Method == "GET" || v.req.Method == "HEAD") && !v.req.HasBody() {
 		return h.cached(v)
 	}
-	terms := gather.Terms{Attempts: r.Attempts, Safe: r.Safe, Need: 1, Late: h.opt.Late}
-	var legs []*gather.Leg
+	terms := scatter.Terms{Attempts: r.Attempts, Safe: r.Safe, Need: 1, Late: h.opt.Late}
+	var legs []*scatter.Leg
 	if len(r.Gathered) > 0 {
 		terms.Need = r.Share
 		for _, s := range r.Gathered {
@@ -313,7 +313,7 @@
 		}
 	} else {
 		s := r.Pick(rand.Float64())
-		legs = []*gather.Leg{v.snap.alone(s, h.way(v.snap, s))}
+		legs = []*scatter.Leg{v.snap.alone(s, h.way(v.snap, s))}
 	}
 	// The lower a request's priority, the sooner it is refused; one that is
 	// late already makes room for those that can be in time.
@@ -324,7 +324,7 @@
 	if h.crowded(legs, factor) {
 		return h.refuse(v, 503, "all searchers are busy")
 	}
-	p := gather.NewParty(terms, legs)
+	p := scatter.NewParty(terms, legs)
 	ok := h.guide.Run(p, v.req, v.times, h.across(v))
 	defer p.Release()
 	switch {
@@ -347,7 +347,7 @@
 // crowded tells whether more than half of the legs would wait in a long
 // queue, that is behind more than factor times the slots. Then the request is
 // better refused before anything of it runs.
-func (h *Head) crowded(legs []*gather.Leg, factor float64) bool {
+func (h *Head) crowded(legs []*scatter.Leg, factor float64) bool {
 	n := 0
 	for _, l := range legs {
 		if h.guide.Range.Crowded(l.Among(), factor) {
@@ -358,7 +358,7 @@
 }
 
 // pass gives a searcher's answer back as it is.
-func (h *Head) pass(v *visit, o *traverse.Outcome) {
+func (h *Head) pass(v *visit, o *upstream.Outcome) {
 	out := &v.c.Response
 	out.SetStatusCode(o.Status)
 	named := map[string]bool{}
@@ -367,7 +367,7 @@
 	}
 	o.Resp.Header.VisitAll(func(k, val []byte) {
 		name := string(k)
-		if traverse.IsHop(name) || named[strings.ToLower(name)] {
+		if upstream.IsHop(name) || named[strings.ToLower(name)] {
 			return
 		}
 		switch strings.ToLower(name) {
@@ -390,7 +390,7 @@
 }
 
 // answerGathered merges the parts that are in.
-func (h *Head) answerGathered(v *visit, p *gather.Party) {
+func (h *Head) answerGathered(v *visit, p *scatter.Party) {
 	var bodies [][]byte
 	stamps := make([]byte, 0, 40*len(p.Legs))
 	for _, l := range p.Legs {
@@ -406,10 +406,10 @@
 	out := &v.c.Response
 	out.SetStatusCode(200)
 	out.Header.SetContentType("application/octet-stream")
-	out.Header.Set(traverse.HeaderParts, string(stamps))
+	out.Header.Set(upstream.HeaderParts, string(stamps))
 	if missing := len(p.Legs) - p.Good(); missing > 0 {
-		out.Header.Set(traverse.HeaderMissing, strconv.Itoa(missing))
+		out.Header.Set(upstream.HeaderMissing, strconv.Itoa(missing))
 	}
-	out.Header.Set(traverse.HeaderRequestID, v.req.ID)
-	out.SetBodyRaw(gather.Merge(bodies, v.route.Top))
+	out.Header.Set(upstream.HeaderRequestID, v.req.ID)
+	out.SetBodyRaw(scatter.Merge(bodies, v.route.Top))
 }
--- a/internal/trailhead/write_test.go
+++ b/internal/frontend/write_test.go
@@ -1,4 +1,4 @@
-package trailhead
+package frontend
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/cloudwego/hertz/pkg/network"
-	"swiftswitch/internal/fork"
-	"swiftswitch/internal/gather"
-	"swiftswitch/internal/rations"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/upstream"
 )
 
 // timedConn remembers how long an answer may take to be written.
@@ -46,11 +46,11 @@
 
 // idleHead has a route and no searchers.
 func idleHead() *Head {
-	conf := &signpost.Configuration{Version: 1, Services: []*signpost.Service{{Name: "s"}}, Routes: []*signpost.Route{
+	conf := &config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: []*config.Route{
 		{Name: "r", HostName: "a.example", PathPrefix: "/", RouteKind: "safe", TimeoutMs: 6000, Service: "s", Attempts: 1}}}
-	guide := &gather.Guide{Range: traverse.New(traverse.Options{Many: 5, Forget: time.Second}), Ledger: rations.New(rations.Rules{Window: time.Second}, 0), Steady: func() time.Duration { return 0 }}
+	guide := &scatter.Guide{Range: upstream.New(upstream.Options{Many: 5, Forget: time.Second}), Ledger: ratelimit.New(ratelimit.Rules{Window: time.Second}, 0), Steady: func() time.Duration { return 0 }}
 	h := New(Options{Soft: 0.9, Hard: 0.97, WriteWithin: 2 * time.Second, Crowd: 2}, guide)
-	h.Set(&Snapshot{Map: fork.Compile(conf, fork.Limits{Header: 1 << 14, Body: 1 << 14})})
+	h.Set(&Snapshot{Map: routing.Compile(conf, routing.Limits{Header: 1 << 14, Body: 1 << 14})})
 	return h
 }
 
--- a/internal/depot/depot.go
+++ b/internal/handoff/depot.go
@@ -1,4 +1,4 @@
-package depot
+package handoff
 
 // Depot tracks, for each node, the last decided slot that it confirmed.
 type Depot struct {
--- a/internal/depot/depot_test.go
+++ b/internal/handoff/depot_test.go
@@ -1,4 +1,4 @@
-package depot
+package handoff
 
 import "testing"
 
--- a/internal/depot/doc.go
+++ b/internal/handoff/doc.go
@@ -2,4 +2,4 @@
 // hold, so that whatever a missing one should have had is handed to it once
 // it is back. It is a pure state machine. In the field's terms: hinted
 // hand-off.
-package depot
+package handoff
--- a/internal/warden/doc.go
+++ b/internal/lease/doc.go
@@ -3,4 +3,4 @@
 // the voters has granted it an epoch, and only as long as they renew it. It
 // holds two pure state machines: Voter, which grants, and Duty, which asks. In
 // the field's terms: leases granted by a majority, with fencing tokens.
-package warden
+package lease
--- a/internal/warden/voter.go
+++ b/internal/lease/voter.go
@@ -1,4 +1,4 @@
-package warden
+package lease
 
 import (
 	"maps"
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -4,55 +4,55 @@
 	"math/rand/v2"
 	"time"
 
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
 )
 
 // pause backs off for a random part of the time for an acknowledgement.
 func (h *hut) pause(try int) {
 	most := 0.008 * float64(min(try+1, 6))
-	time.Sleep(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
+	time.Sleep(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
 }
 
 // round runs one ballot on the slot after base, the state that own was made
 // for: had this node moved on in the meantime, own would rest on something
 // that is no longer so. It returns true when the node's state is a later one
 // in the end, whoever's value it was.
-func (h *hut) round(base cairn.State, own *cairn.Value) bool {
+func (h *hut) round(base consensus.State, own *consensus.Value) bool {
 	return h.roundBy(base, own, time.Time{})
 }
 
 // roundBy is a round that proposes nothing of its own once until is past,
 // whatever this node was held up by since it asked for promises.
-func (h *hut) roundBy(base cairn.State, own *cairn.Value, until time.Time) bool {
-	var b cairn.Ballot
+func (h *hut) roundBy(base consensus.State, own *consensus.Value, until time.Time) bool {
+	var b consensus.Ballot
 	moved := false
 	h.desk.ask(func() {
 		moved = h.acc.State.Slot != base.Slot
 		h.highest++
-		b = cairn.Ballot{N: h.highest, By: h.acc.ID, Life: h.life}
+		b = consensus.Ballot{N: h.highest, By: h.acc.ID, Life: h.life}
 	})
 	if moved {
 		return true
 	}
-	p := cairn.NewProposer(base, b, own)
-	for p.Stage <= cairn.Accepting {
-		if p.Stage == cairn.Accepting && p.Mine && !until.IsZero() && time.Now().After(until) {
-			p.Stage = cairn.Outbid
+	p := consensus.NewProposer(base, b, own)
+	for p.Stage <= consensus.Accepting {
+		if p.Stage == consensus.Accepting && p.Mine && !until.IsZero() && time.Now().After(until) {
+			p.Stage = consensus.Outbid
 			break
 		}
 		stage, m := p.Stage, cairnAsk{Ask: p.Ask()}
 		if v := m.Value; v != nil && v.Body != "" {
 			packed, err := packOn(base.Body, v.Body)
 			if err != nil {
-				logbook.Log(logbook.InvariantBroken, "pack", err)
+				events.Log(events.InvariantBroken, "pack", err)
 				panic(err)
 			}
 			m.Value, m.Packed = bare(v, packed), packed
 		}
 		type heard struct {
-			say cairn.Say
+			say consensus.Say
 			err error
 		}
 		in := make(chan heard, len(base.Voters))
@@ -63,7 +63,7 @@
 				if v.IP == h.n.set().IpAddress {
 					say, x.err = h.vote(m)
 				} else {
-					x.err = h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathCairn, m, &say, signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathCairn, m, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
 					x.say, x.err = h.hears(base, say)
@@ -79,21 +79,21 @@
 			}
 		}
 		if p.Stage == stage {
-			p.Stage = cairn.Outbid
+			p.Stage = consensus.Outbid
 		}
 	}
 	switch p.Stage {
-	case cairn.Chosen:
+	case consensus.Chosen:
 		s := base.Apply(p.Value)
 		h.desk.ask(func() { h.learn(s, "proposed") })
 		h.tell(b, s)
 		return true
-	case cairn.Behind:
+	case consensus.Behind:
 		h.desk.ask(func() { h.learn(*p.Newer, "told") })
 		return true
 	}
 	h.desk.ask(func() { h.highest = max(h.highest, p.Higher.N) })
-	logbook.Log(logbook.ProposalLost, "slot", base.Slot+1, "ballot", b.N)
+	events.Log(events.ProposalLost, "slot", base.Slot+1, "ballot", b.N)
 	return false
 }
 
@@ -101,27 +101,27 @@
 // its proposer may be gone, and until the slot is decided a change of voters
 // may be in force that nobody knows, or still come into force late.
 func (h *hut) finishLoop() {
-	var seen cairn.Ballot
+	var seen consensus.Ballot
 	for {
 		select {
 		case <-h.n.stop:
 			return
 		case <-time.After(time.Duration(float64(h.n.heartbeat(0.4)) * (0.75 + rand.Float64()/2))):
 		}
-		var s cairn.State
-		var now cairn.Ballot
+		var s consensus.State
+		var now consensus.Ballot
 		h.desk.ask(func() { s, now = h.acc.State, h.acc.Accepted })
-		if now != (cairn.Ballot{}) && now == seen && !h.apart() && h.proposing.TryLock() {
+		if now != (consensus.Ballot{}) && now == seen && !h.apart() && h.proposing.TryLock() {
 			done := h.round(s, nil)
 			h.proposing.Unlock()
-			logbook.Log(logbook.Finished, "slot", s.Slot+1, "done", done)
+			events.Log(events.Finished, "slot", s.Slot+1, "done", done)
 		}
 		seen = now
 	}
 }
 
 // tell spreads a decided slot to the other huts.
-func (h *hut) tell(b cairn.Ballot, s cairn.State) {
+func (h *hut) tell(b consensus.Ballot, s consensus.State) {
 	var to []string
 	h.desk.ask(func() { to = h.peers() })
 	for _, ip := range to {
@@ -148,7 +148,7 @@
 
 // read gives the newest decided state: a majority of the voters knows of no
 // later slot and has begun none. What was begun is finished first.
-func (h *hut) read(within time.Duration) (cairn.State, bool) {
+func (h *hut) read(within time.Duration) (consensus.State, bool) {
 	until := time.Now().Add(within)
 	for try := 0; ; try++ {
 		began := h.n.steady()
@@ -162,7 +162,7 @@
 				var say peekSay
 				if v.IP == h.n.set().IpAddress {
 					h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
-				} else if h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathPeek, struct{}{}, &say, signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
+				} else if h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathPeek, struct{}{}, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
@@ -182,7 +182,7 @@
 		if known >= len(s.Voters)/2+1 && known > 0 {
 			// Whatever froze this node since it asked, the answer rests on a
 			// majority's word that is no older than this.
-			if !begun && !ahead && h.n.steady()-began < signpost.Ms(h.n.set().Bounds.AcknowledgeMs, readAge) {
+			if !begun && !ahead && h.n.steady()-began < config.Ms(h.n.set().Bounds.AcknowledgeMs, readAge) {
 				return s, true
 			}
 			h.round(s, nil)
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/transport"
 )
 
 // What huts tell each other about ballots and decided state. Bodies travel as
@@ -18,27 +18,27 @@
 
 // cairnAsk is an Ask; Packed holds the body of its value.
 type cairnAsk struct {
-	cairn.Ask
+	consensus.Ask
 	Packed []byte `json:",omitempty"`
 }
 
 // cairnSay is a Say; Packed holds the body of its value, News stand for Ahead.
 type cairnSay struct {
-	cairn.Say
+	consensus.Say
 	Packed []byte `json:",omitempty"`
 	News   *news  `json:",omitempty"`
 }
 
 // news are cairn.News whose body is packed on top of that of version Base.
 type news struct {
-	cairn.News
+	consensus.News
 	Base   int64  `json:",omitempty"`
 	Packed []byte `json:",omitempty"`
 }
 
 // bare gives a value without its body, for the wire and the disk, where that
 // goes packed beside it.
-func bare(v *cairn.Value, packed []byte) *cairn.Value {
+func bare(v *consensus.Value, packed []byte) *consensus.Value {
 	if v == nil || packed == nil {
 		return v
 	}
@@ -88,7 +88,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
@@ -96,7 +96,7 @@
 
 // hears opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
-func (h *hut) hears(base cairn.State, say cairnSay) (cairn.Say, error) {
+func (h *hut) hears(base consensus.State, say cairnSay) (consensus.Say, error) {
 	if say.Value != nil && say.Packed != nil {
 		body, err := unpackOn(base.Body, say.Packed, h.n.maxMessage())
 		if err != nil {
@@ -137,7 +137,7 @@
 		}
 		packed, err := packOn(base, n.Body)
 		if err != nil {
-			logbook.Log(logbook.InvariantBroken, "pack", err)
+			events.Log(events.InvariantBroken, "pack", err)
 			panic(err)
 		}
 		n.Body, n.Packed = "", packed
@@ -153,7 +153,7 @@
 const toldKept = 16
 
 // open gives the news whole; body finds that of a version.
-func (n *news) open(body func(int64) (string, bool), most int) (cairn.News, error) {
+func (n *news) open(body func(int64) (string, bool), most int) (consensus.News, error) {
 	whole := n.News
 	if n.Packed == nil {
 		return whole, nil
@@ -185,7 +185,7 @@
 		return h.bodies[at].Body, true
 	}, h.n.maxMessage())
 	if err != nil {
-		logbook.Log(logbook.MessageRefused, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
+		events.Log(events.MessageRefused, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
 		return false
 	}
 	s, ok := h.acc.State.Follow(whole)
@@ -213,7 +213,7 @@
 			h.learn(h.acc.State.Apply(*h.acc.Value), "accepted")
 		}
 	})
-	rope.Answer(c, 200, learnSay{h.kept()})
+	transport.Answer(c, 200, learnSay{h.kept()})
 }
 
 // teach brings another hut up to what this one knows, and gives the slot up
@@ -221,7 +221,7 @@
 // held is the slot that the other is known to hold.
 func (h *hut) teach(ip string, held int64, within time.Duration) int64 {
 	until := time.Now().Add(within)
-	for _, from := range []int64{held, cairn.Nothing} {
+	for _, from := range []int64{held, consensus.Nothing} {
 		var m learnAsk
 		h.desk.ask(func() {
 			m = learnAsk{Slot: h.acc.State.Slot}
@@ -234,8 +234,8 @@
 		if h.n.call.Ask(h.n.set().RopeAddr(ip), pathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
-		if say.Slot >= m.Slot || from == cairn.Nothing || time.Now().After(until) {
-			logbook.Log(logbook.HandedOver, "to", ip, "slot", say.Slot)
+		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
+			events.Log(events.HandedOver, "to", ip, "slot", say.Slot)
 			return say.Slot
 		}
 	}
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/warden"
-	"swiftswitch/internal/waymark"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/lease"
+	"swiftswitch/internal/peersampling"
 )
 
 // Signs of life between huts, and what is handed over on them.
@@ -80,7 +80,7 @@
 	}
 	now := h.n.steady()
 	for ip, o := range h.others {
-		if now-o.at < signpost.Ms(h.n.set().Bounds.InTouchMs, 1) {
+		if now-o.at < config.Ms(h.n.set().Bounds.InTouchMs, 1) {
 			add(ip)
 		} else if !slices.Contains(out, ip) {
 			delete(h.others, ip)
@@ -106,7 +106,7 @@
 func (h *hut) beatAll() {
 	var out []string
 	var b beat
-	var bid warden.Bid
+	var bid lease.Bid
 	var sent time.Duration
 	known := 0
 	h.desk.ask(func() {
@@ -135,7 +135,7 @@
 					h.hear(say)
 					h.renewed(bid, say, sent)
 				})
-				h.n.view.post(func() { h.n.way.Add(waymark.Node{Name: say.ID, IP: say.IP, Hut: true}) })
+				h.n.view.post(func() { h.n.way.Add(peersampling.Node{Name: say.ID, IP: say.IP, Hut: true}) })
 			}
 		}()
 	}
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -6,17 +6,17 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/fork"
-	"swiftswitch/internal/larder"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/trailhead"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/cache"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/frontend"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/upstream"
 )
 
 // larders is what a node knows of those that keep copies; it is never changed.
 type larders struct {
-	list []cairn.Larder
+	list []consensus.Larder
 	// on: this node is one of them.
 	on bool
 	// since is when this node came onto the list, in this life.
@@ -25,10 +25,10 @@
 }
 
 // setLarders takes the agreed list; it runs on the desk.
-func (t *trail) setLarders(list []cairn.Larder) {
+func (t *trail) setLarders(list []consensus.Larder) {
 	old := t.larders.Load()
 	now := &larders{list: list}
-	now.on = slices.ContainsFunc(list, func(l cairn.Larder) bool { return l.IP == t.n.set().IpAddress })
+	now.on = slices.ContainsFunc(list, func(l consensus.Larder) bool { return l.IP == t.n.set().IpAddress })
 	switch {
 	case !now.on:
 	case old == nil:
@@ -41,12 +41,12 @@
 	}
 	t.larders.Store(now)
 	if t.larder {
-		t.rng.SetShare(traverse.Fronts{All: len(list)})
+		t.rng.SetShare(upstream.Fronts{All: len(list)})
 	}
 }
 
 // route finds the route of an object, if there is any yet.
-func (t *trail) route(host, target string) *fork.Route {
+func (t *trail) route(host, target string) *routing.Route {
 	snap := t.head.Current()
 	if snap == nil {
 		return nil
@@ -65,7 +65,7 @@
 		return 0, false
 	}
 	now := t.n.steady()
-	if now-time.Duration(t.heardAt.Load()) > signpost.Sec(t.n.set().Bounds.CatchUpS, quietAt) {
+	if now-time.Duration(t.heardAt.Load()) > config.Sec(t.n.set().Bounds.CatchUpS, quietAt) {
 		return 0, false
 	}
 	if t.larder {
@@ -82,28 +82,28 @@
 
 // Bring asks the larder that owns the object, or the next in line where that
 // one does not answer. Without any, the front fetches itself, sparingly.
-func (t *trail) Bring(w trailhead.Want) trailhead.Brought {
+func (t *trail) Bring(w frontend.Want) frontend.Brought {
 	deadline := time.Now().Add(w.Left)
 	l := t.larders.Load()
 	if l == nil {
-		return trailhead.Brought{Status: 503, Back: t.n.heartbeat(0.2)}
+		return frontend.Brought{Status: 503, Back: t.n.heartbeat(0.2)}
 	}
 	if len(l.list) == 0 {
 		return t.bringSelf(w)
 	}
 	order := slices.Clone(l.list)
-	key, now := larder.Key(w.Host, w.Target), time.Now()
-	score := func(x cairn.Larder) uint64 { return traverse.Draw(x.IP + "\n" + key) }
-	slices.SortFunc(order, func(a, b cairn.Larder) int {
+	key, now := cache.Key(w.Host, w.Target), time.Now()
+	score := func(x consensus.Larder) uint64 { return upstream.Draw(x.IP + "\n" + key) }
+	slices.SortFunc(order, func(a, b consensus.Larder) int {
 		return cmp.Or(cmp.Compare(t.ways.Out(a.IP, now), t.ways.Out(b.IP, now)), cmp.Compare(score(b), score(a)))
 	})
 	for at := 0; ; {
 		left := time.Until(deadline)
 		if left < time.Millisecond {
-			return trailhead.Brought{Status: 504}
+			return frontend.Brought{Status: 504}
 		}
 		if at >= 2*len(order) {
-			return trailhead.Brought{Status: 503, Back: min(t.n.heartbeat(0.5), left/4)}
+			return frontend.Brought{Status: 503, Back: min(t.n.heartbeat(0.5), left/4)}
 		}
 		wait := min(left, max(w.Aim*3/4, t.n.heartbeat(0.2)))
 		to := order[at%len(order)]
@@ -121,40 +121,40 @@
 	}
 }
 
-func (t *trail) askLarder(to cairn.Larder, w trailhead.Want, left, wait time.Duration) (trailhead.Brought, error) {
+func (t *trail) askLarder(to consensus.Larder, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := larderAsk{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.pantry.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.n.steady()
 	rep, err := t.n.call.Call(t.n.set().RopeAddr(to.IP), "POST", pathLarder, nil, encode("larder", a), min(left, wait+max(w.Aim/2, t.n.heartbeat(0.2))))
 	if err != nil {
-		return trailhead.Brought{}, err
+		return frontend.Brought{}, err
 	}
 	var s larderSay
 	if err := json.Unmarshal([]byte(rep.Header(headerLarder)), &s); err != nil {
-		return trailhead.Brought{}, err
+		return frontend.Brought{}, err
 	}
 	return brought(w, s, rep.Body, began), nil
 }
 
 // brought reads a larder's answer; began is when it was asked for, from which
 // the copy's age is counted on.
-func brought(w trailhead.Want, s larderSay, body []byte, began time.Duration) trailhead.Brought {
+func brought(w frontend.Want, s larderSay, body []byte, began time.Duration) frontend.Brought {
 	switch {
 	case s.Passed:
-		return trailhead.Brought{Passed: &larder.Passed{Status: s.Status, Fields: s.Fields, Body: body, Stamp: s.Stamp}}
+		return frontend.Brought{Passed: &cache.Passed{Status: s.Status, Fields: s.Fields, Body: body, Stamp: s.Stamp}}
 	case s.Status == 200:
-		return trailhead.Brought{Copy: &larder.Copy{
+		return frontend.Brought{Copy: &cache.Copy{
 			Host: w.Host, Target: w.Target, Service: w.Service, Fields: s.Fields, Body: body, ETag: s.ETag, Stamp: s.Stamp, Tags: s.Tags,
 			Born: began - time.Duration(s.AgeMs)*time.Millisecond, Known: s.Known,
 		}}
 	}
-	return trailhead.Brought{Status: s.Status, Back: time.Duration(s.BackMs) * time.Millisecond}
+	return frontend.Brought{Status: s.Status, Back: time.Duration(s.BackMs) * time.Millisecond}
 }
 
 // bringSelf fetches where there is no larder.
-func (t *trail) bringSelf(w trailhead.Want) trailhead.Brought {
+func (t *trail) bringSelf(w frontend.Want) frontend.Brought {
 	r := t.route(w.Host, w.Target)
 	if r == nil {
-		return trailhead.Brought{Status: 503}
+		return frontend.Brought{Status: 503}
 	}
 	began := t.n.steady()
 	left := w.Left.Milliseconds()
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"swiftswitch/internal/belay"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/upstream"
 )
 
 // The front's part of rollouts: it follows the phases that the log decides,
@@ -24,15 +24,15 @@
 // scout is what a front knows of rollouts. All but watches and tally belongs
 // to the trail's desk.
 type scout struct {
-	orders map[string]cairn.Rollout
-	lanes  map[string]*belay.Lane
+	orders map[string]consensus.Rollout
+	lanes  map[string]*rollout.Lane
 	// until is when a trial ends here, by order.
 	until  map[int64]time.Duration
 	halted map[int64]bool
 	// watches are the services with a rollout under way.
 	watches atomic.Pointer[map[string]watched]
-	tally   belay.Tally
-	judges  map[int64]*belay.Judge
+	tally   rollout.Tally
+	judges  map[int64]*rollout.Judge
 	life    int64
 	seq     int64
 }
@@ -47,7 +47,7 @@
 }
 
 func (s *scout) reset() {
-	s.orders, s.until, s.halted, s.judges = map[string]cairn.Rollout{}, map[int64]time.Duration{}, map[int64]bool{}, map[int64]*belay.Judge{}
+	s.orders, s.until, s.halted, s.judges = map[string]consensus.Rollout{}, map[int64]time.Duration{}, map[int64]bool{}, map[int64]*rollout.Judge{}
 	s.life = rand.Int64()
 }
 
@@ -61,15 +61,15 @@
 func (n *Node) deaf() time.Duration {
 	b := n.set().Bounds
 	if b.RollbackMs > 0 {
-		return signpost.Ms(b.RollbackMs, 0.4)
+		return config.Ms(b.RollbackMs, 0.4)
 	}
-	return signpost.Ms(b.InTouchMs, 0.4)
+	return config.Ms(b.InTouchMs, 0.4)
 }
 
 // exposure is what the settings allow a bad version.
-func (n *Node) exposure() belay.Exposure {
+func (n *Node) exposure() rollout.Exposure {
 	b := n.set().Bounds
-	return belay.Exposure{Share: b.ExposureShare, Slack: b.ExposureSlack}
+	return rollout.Exposure{Share: b.ExposureShare, Slack: b.ExposureSlack}
 }
 
 // takeRollouts takes what a hut tells of the orders; it runs on the desk.
@@ -84,7 +84,7 @@
 			continue
 		}
 		t.scout.orders[r.Service] = r
-		if r.Phase == cairn.Trial && now > t.n.heartbeat(4) {
+		if r.Phase == consensus.Trial && now > t.n.heartbeat(4) {
 			// One that has just started does not know how much of it is over.
 			t.scout.until[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
 		}
@@ -100,15 +100,15 @@
 
 // setLanes works out where requests may go; it runs on the desk.
 func (t *trail) setLanes() {
-	lanes, versions, watches := map[string]*belay.Lane{}, map[string][]string{}, map[string]watched{}
+	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]watched{}
 	if t.table != nil {
 		for service, first := range t.table.First {
-			lanes[service] = &belay.Lane{From: first}
+			lanes[service] = &rollout.Lane{From: first}
 		}
 	}
 	o, e := t.opt.Rollout, t.n.exposure()
 	for service, r := range t.scout.orders {
-		l := &belay.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.scout.until[r.N], Halted: t.scout.halted[r.N]}
+		l := &rollout.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.scout.until[r.N], Halted: t.scout.halted[r.N]}
 		if l.From == "" && lanes[service] != nil {
 			l.From = lanes[service].From
 		}
@@ -130,7 +130,7 @@
 	gone := func(order int64) bool { return !runs[order] }
 	maps.DeleteFunc(t.scout.until, func(order int64, _ time.Duration) bool { return gone(order) })
 	maps.DeleteFunc(t.scout.halted, func(order int64, _ bool) bool { return gone(order) })
-	maps.DeleteFunc(t.scout.judges, func(order int64, _ *belay.Judge) bool { return gone(order) })
+	maps.DeleteFunc(t.scout.judges, func(order int64, _ *rollout.Judge) bool { return gone(order) })
 }
 
 // whoMost is how many searchers of a new version are told apart one by one.
@@ -149,8 +149,8 @@
 }
 
 // choose picks a searcher for a request of this node's own, as its lane allows.
-func (t *trail) choose(service string, aim time.Duration) (*traverse.Peer, time.Time) {
-	var l *belay.Lane
+func (t *trail) choose(service string, aim time.Duration) (*upstream.Peer, time.Time) {
+	var l *rollout.Lane
 	if s := t.head.Current(); s != nil {
 		l = s.Lanes[service]
 	}
@@ -160,7 +160,7 @@
 		if version == "" && i != 1 {
 			continue
 		}
-		if p, start := t.rng.Choose(traverse.Among{Service: service, Version: version}, nil, aim, false); p != nil {
+		if p, start := t.rng.Choose(upstream.Among{Service: service, Version: version}, nil, aim, false); p != nil {
 			return p, start
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 // seen counts a try at a service with a rollout under way.
-func (t *trail) seen(p *traverse.Peer, r *traverse.Request, o *traverse.Outcome) {
+func (t *trail) seen(p *upstream.Peer, r *upstream.Request, o *upstream.Outcome) {
 	ws := t.scout.watches.Load()
 	if ws == nil {
 		return
@@ -177,7 +177,7 @@
 	if !ok || p.Version != w.from && p.Version != w.target {
 		return
 	}
-	c := belay.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Far()}
+	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Far()}
 	if c.New {
 		if c.Who = p.Entry; w.many {
 			c.Who = p.Entry % whoMost
@@ -190,14 +190,14 @@
 
 // sumOf is what one try tells of a version. A try that had less time than the
 // aim tells nothing by its end.
-func sumOf(o *traverse.Outcome, aim time.Duration) (belay.Sum, bool) {
+func sumOf(o *upstream.Outcome, aim time.Duration) (rollout.Sum, bool) {
 	late := errors.Is(o.Err, os.ErrDeadlineExceeded) || errors.Is(o.Err, context.DeadlineExceeded) || o.Status == 504
 	if late && o.Took < aim {
-		return belay.Sum{}, false
+		return rollout.Sum{}, false
 	}
-	s := belay.Sum{N: 1}
+	s := rollout.Sum{N: 1}
 	switch {
-	case o.Verdict != traverse.Answered || o.Status >= 500 || o.Status < 300 && o.Stamp == "":
+	case o.Verdict != upstream.Answered || o.Status >= 500 || o.Status < 300 && o.Stamp == "":
 		s.Bad = 1
 	case !o.Cold && o.Took > 0:
 		x := math.Log(float64(o.Took) / float64(time.Millisecond))
@@ -240,24 +240,24 @@
 }
 
 // judge runs the charts over what this node saw itself; it runs on the desk.
-func (t *trail) judge(entries []belay.Entry) {
+func (t *trail) judge(entries []rollout.Entry) {
 	now := t.n.steady()
-	byOrder := map[int64][]belay.Entry{}
+	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range entries {
 		byOrder[e.Order] = append(byOrder[e.Order], e)
 	}
 	for service, w := range *t.scout.watches.Load() {
 		j := t.scout.judges[w.order]
 		if j == nil {
-			j = belay.NewJudge(t.opt.Rollout, w.term, now)
+			j = rollout.NewJudge(t.opt.Rollout, w.term, now)
 			t.scout.judges[w.order] = j
 		}
-		j.Loaded = t.scout.orders[service].Phase != cairn.Canary
+		j.Loaded = t.scout.orders[service].Phase != consensus.Canary
 		j.Add(byOrder[w.order])
 		j.Step(now)
 		if j.Bad() != "" && !t.scout.halted[w.order] {
 			t.scout.halted[w.order] = true
-			logbook.Log(logbook.CanaryHalted, "service", service, "version", w.target, "why", j.Bad())
+			events.Log(events.CanaryHalted, "service", service, "version", w.target, "why", j.Bad())
 			t.setLanes()
 			t.publish()
 		}
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/events"
 )
 
 // Hearsay: with a request in a second or two, each front would have to find out
@@ -96,14 +96,14 @@
 		h.desk.post(func() {
 			h.spreading = false
 			h.gossip.seq++
-			logbook.Log(logbook.HearsayTold, "searchers", len(h.gossip.dark))
+			events.Log(events.HearsayTold, "searchers", len(h.gossip.dark))
 			h.announce()
 		})
 	})
 }
 
 // hearsayLasts is how long hearsay keeps requests away from a searcher.
-func (n *Node) hearsayLasts() time.Duration { return signpost.Ms(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) hearsayLasts() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
 
 // hearsayLoop tells the hut watched first of searchers that did not answer.
 func (t *trail) hearsayLoop() {
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/endpoints"
 )
 
 // Hollow is many fronts in one process: they join, watch, report and hold
@@ -19,7 +19,7 @@
 
 // StartHollow runs n fronts with settings like those given, each with a name
 // and an address of its own, from the given one on, and in one zone after the other.
-func StartHollow(like *signpost.Settings, n int, o Options) (*Hollow, error) {
+func StartHollow(like *config.Settings, n int, o Options) (*Hollow, error) {
 	var zones []string
 	for z := range like.Zones {
 		zones = append(zones, z)
@@ -37,7 +37,7 @@
 		at := slices.Clone(first)
 		x := int(at[2])<<8 + int(at[3]) + i
 		at[2], at[3] = byte(x>>8), byte(x)
-		s := proto.Clone(like).(*signpost.Settings)
+		s := proto.Clone(like).(*config.Settings)
 		s.NodeName, s.IpAddress, s.Zone = fmt.Sprintf("%s-%d", like.NodeName, i), at.String(), zones[i%len(zones)]
 		if r, ok := like.Zones[s.Zone]; ok {
 			s.Region = r
@@ -62,7 +62,7 @@
 }
 
 // Ready counts the fronts that are ready, and those that hold a version and a table.
-func (h *Hollow) Ready(version int64, table hutbook.Stamp) (ready, current int) {
+func (h *Hollow) Ready(version int64, table endpoints.Stamp) (ready, current int) {
 	for _, n := range h.nodes {
 		if n.trail.ready.Load() {
 			ready++
@@ -76,7 +76,7 @@
 }
 
 // Newest is the newest version and table that any of the fronts holds.
-func (h *Hollow) Newest() (version int64, table hutbook.Stamp) {
+func (h *Hollow) Newest() (version int64, table endpoints.Stamp) {
 	for _, n := range h.nodes {
 		held := n.trail.held.Load()
 		version = max(version, held.version)
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -10,27 +10,27 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/belay"
-	"swiftswitch/internal/bivouac"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/cellar"
-	"swiftswitch/internal/depot"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/warden"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/handoff"
+	"swiftswitch/internal/lease"
+	"swiftswitch/internal/membership"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/storage"
+	"swiftswitch/internal/transport"
 )
 
 // hut is the part of a node with a disk. Its tables belong to one desk.
 type hut struct {
 	n      *Node
-	cellar *cellar.Cellar
+	cellar *storage.Cellar
 	desk   *desk
 
 	// Owned by the desk.
-	acc     cairn.Keeper
+	acc     consensus.Keeper
 	learned time.Duration
 	// highest is the highest number of a ballot that was seen.
 	highest int64
@@ -41,17 +41,17 @@
 	keeping []keepWait
 	// told holds news for those behind, by the slot they are at.
 	told  map[int64]*news
-	table *hutbook.Table
+	table *endpoints.Table
 	// bodies holds the last few configurations, packed what was made of them
 	// for who holds which of them.
 	bodies []bodyRecord
 	packed map[int64]packedVersion
 	// past holds the last few tables, to tell what changed since them.
-	past   []*hutbook.Table
-	deltas map[hutbook.Stamp][]byte
+	past   []*endpoints.Table
+	deltas map[endpoints.Stamp][]byte
 	// voter grants leases on duties; duty is this node's part in the one there is.
-	voter *warden.Voter
-	duty  *warden.Duty
+	voter *lease.Voter
+	duty  *lease.Duty
 	// acting is the epoch under which this node has the duty, 0: it has not;
 	// unfit: it could not have it.
 	acting int64
@@ -61,8 +61,8 @@
 	tables map[string]tableAt
 	// taken and released wake the duty's controllers.
 	taken, released chan struct{}
-	depot           *depot.Depot
-	watch           *bivouac.Watch
+	depot           *handoff.Depot
+	watch           *membership.Watch
 	fronts          map[string]frontSeen
 	// counted is how many fronts there are, before what an earlier life counted.
 	counted, before int
@@ -74,7 +74,7 @@
 	// rollN numbers the states of the roll of nodes that watch this hut
 	// first; rolls holds those of the other huts.
 	rollN  int64
-	rolled []saddle.Front
+	rolled []relay.Front
 	rolls  map[string]rollSeen
 	// keepers are the larders, and when they were last heard.
 	keepers map[string]time.Duration
@@ -103,23 +103,23 @@
 
 func newHut(n *Node) (*hut, error) {
 	s := n.set()
-	slow, again := signpost.Ms(s.Bounds.AcknowledgeMs, 0.1), signpost.Ms(s.Bounds.AcknowledgeMs, 0.04)
-	cel, err := cellar.Open(s.DataDirectory, slow, again)
-	until := time.Now().Add(signpost.Ms(s.Bounds.AcknowledgeMs, 2))
+	slow, again := config.Ms(s.Bounds.AcknowledgeMs, 0.1), config.Ms(s.Bounds.AcknowledgeMs, 0.04)
+	cel, err := storage.Open(s.DataDirectory, slow, again)
+	until := time.Now().Add(config.Ms(s.Bounds.AcknowledgeMs, 2))
 	for err != nil && time.Now().Before(until) {
 		// A disk in trouble often comes back; ending and starting anew would be no better.
-		logbook.Log(logbook.DiskTrouble, "err", err)
+		events.Log(events.DiskTrouble, "err", err)
 		time.Sleep(again)
-		cel, err = cellar.Open(s.DataDirectory, slow, again)
+		cel, err = storage.Open(s.DataDirectory, slow, again)
 	}
 	if err != nil {
 		return nil, err
 	}
-	h := &hut{n: n, cellar: cel, desk: newDesk(), depot: depot.New(), fronts: map[string]frontSeen{}, others: map[string]hutSeen{}, changed: make(chan struct{}), rolls: map[string]rollSeen{}, known: map[string]knownFront{}, keepers: map[string]time.Duration{}, purges: make(chan *purgeWait, 1024), packed: map[int64]packedVersion{}, told: map[int64]*news{}, deltas: map[hutbook.Stamp][]byte{}, gossip: gossip{said: map[int64]map[string]time.Duration{}, dark: map[int64]time.Duration{}},
+	h := &hut{n: n, cellar: cel, desk: newDesk(), depot: handoff.New(), fronts: map[string]frontSeen{}, others: map[string]hutSeen{}, changed: make(chan struct{}), rolls: map[string]rollSeen{}, known: map[string]knownFront{}, keepers: map[string]time.Duration{}, purges: make(chan *purgeWait, 1024), packed: map[int64]packedVersion{}, told: map[int64]*news{}, deltas: map[endpoints.Stamp][]byte{}, gossip: gossip{said: map[int64]map[string]time.Duration{}, dark: map[int64]time.Duration{}},
 		asked: map[string]bool{}, tables: map[string]tableAt{}, taken: make(chan struct{}, 1), released: make(chan struct{}, 1)}
-	leases := map[string]warden.Record{}
+	leases := map[string]lease.Record{}
 	var id string
-	var terms belay.Noted
+	var terms rollout.Noted
 	err = load(cel, map[string]any{recTerms: &terms, recIdentity: &id, recLeases: &leases, recTable: &h.table, recFronts: &h.before, recLife: &h.life})
 	if err != nil {
 		return nil, err
@@ -135,12 +135,12 @@
 		if s.FirstStart && !cel.SetAside() {
 			ips := s.SeedIPs()
 			slices.Sort(ips)
-			id, st = cairn.GenesisID(s.IpAddress), cairn.Genesis(ips)
-			logbook.Log(logbook.GenesisVoters, "voters", strings.Join(ips, ","))
+			id, st = consensus.GenesisID(s.IpAddress), consensus.Genesis(ips)
+			events.Log(events.GenesisVoters, "voters", strings.Join(ips, ","))
 		} else {
 			// What was promised under an identity in a store that was set aside may be forgotten.
 			id = "later-" + s.IpAddress + "-" + randomName()
-			logbook.Log(logbook.IdentityNew, "id", id)
+			events.Log(events.IdentityNew, "id", id)
 		}
 		maps.Copy(records, stateRecords(st, -1, 0))
 		records[recIdentity] = encode(recIdentity, id)
@@ -154,11 +154,11 @@
 	h.packedValue, h.highest = packed, h.acc.Promised.N
 	h.born = rand.Int64N(1<<40) << 10
 	h.gossip.seq = h.born
-	h.watch, h.frontsKept = bivouac.NewWatch(n.heartbeat(1), n.steady()), h.before
+	h.watch, h.frontsKept = membership.NewWatch(n.heartbeat(1), n.steady()), h.before
 	h.unfit = true // until it has heard a majority
-	lease := n.heartbeat(1.25)
-	h.voter = warden.NewVoter(id, lease, leases, h.acc.State.VotersSlot, h.acc.State.Votes(id), n.steady())
-	h.duty = warden.New(dutyList, id, lease, n.steady())
+	leaseDuration := n.heartbeat(1.25)
+	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acc.State.VotersSlot, h.acc.State.Votes(id), n.steady())
+	h.duty = lease.New(dutyList, id, leaseDuration, n.steady())
 	h.duty.SetLife(h.life)
 	h.duty.See(leases[dutyList].Epoch, leases[dutyList].Holder)
 	if h.table != nil {
@@ -180,7 +180,7 @@
 		if err == nil || !time.Now().Before(until) {
 			return err
 		}
-		logbook.Log(logbook.DiskTrouble, "err", err)
+		events.Log(events.DiskTrouble, "err", err)
 		time.Sleep(again)
 	}
 }
@@ -188,7 +188,7 @@
 func encode(name string, v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		logbook.Log(logbook.InvariantBroken, "record", name, "err", err)
+		events.Log(events.InvariantBroken, "record", name, "err", err)
 		panic(err)
 	}
 	return b
@@ -225,7 +225,7 @@
 }
 
 // learn takes decided state; it runs on the desk.
-func (h *hut) learn(s cairn.State, how string) {
+func (h *hut) learn(s consensus.State, how string) {
 	old := h.acc.State
 	if !h.acc.Learn(s) {
 		return
@@ -252,19 +252,19 @@
 				h.bodies = h.bodies[1:]
 			}
 		}
-		logbook.Log(logbook.ConfigChosen, "slot", s.Slot, "version", s.Version, "how", how)
+		events.Log(events.ConfigChosen, "slot", s.Slot, "version", s.Version, "how", how)
 	}
 	if len(s.Voters) != len(old.Voters) || !slices.Equal(s.Voters, old.Voters) {
 		var l []string
 		for _, v := range s.Voters {
 			l = append(l, v.ID)
 		}
-		logbook.Log(logbook.VotersChosen, "slot", s.Slot, "voters", strings.Join(l, ","), "how", how)
+		events.Log(events.VotersChosen, "slot", s.Slot, "voters", strings.Join(l, ","), "how", how)
 	}
 	h.announce()
 }
 
-func (h *hut) state() (s cairn.State) {
+func (h *hut) state() (s consensus.State) {
 	h.desk.ask(func() { s = h.acc.State })
 	return s
 }
@@ -285,28 +285,28 @@
 	switch string(c.Request.URI().PathOriginal()) {
 	case pathCairn:
 		var m cairnAsk
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			if say, err := h.vote(m); err != nil {
-				rope.Answer(c, 503, map[string]string{"Error": err.Error()})
+				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
 			} else {
-				rope.Answer(c, 200, say)
+				transport.Answer(c, 200, say)
 			}
 		}
 	case pathLearn:
 		var m learnAsk
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			h.handleLearn(c, m)
 		}
 	case pathState:
 		var m stateAsk
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			var say *news
 			h.desk.ask(func() { say = h.news(min(m.Slot, h.acc.State.Slot)) })
-			rope.Answer(c, 200, say)
+			transport.Answer(c, 200, say)
 		}
 	case pathVersion:
 		var m versionAsk
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			var say versionSay
 			var body []byte
 			h.desk.ask(func() { say, body = h.version(m) })
@@ -319,101 +319,101 @@
 	case pathPeek:
 		var say peekSay
 		h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
-		rope.Answer(c, 200, say)
+		transport.Answer(c, 200, say)
 	case pathBeat:
 		var m beat
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			h.desk.ask(func() {
 				h.hear(m)
 				granted := h.renew(m)
 				m = h.beat()
 				m.Granted = granted
 			})
-			rope.Answer(c, 200, m)
+			transport.Answer(c, 200, m)
 		}
 	case pathTable:
 		var m tableAsk
-		if !rope.Read(c, &m) {
+		if !transport.Read(c, &m) {
 			return true
 		}
 		d, err := unpackDelta(m.Delta, h.n.maxMessage())
 		if err != nil {
-			logbook.Log(logbook.MessageRefused, "path", pathTable, "from", c.RemoteAddr(), "err", err)
-			rope.Answer(c, 400, map[string]string{"Error": err.Error()})
+			events.Log(events.MessageRefused, "path", pathTable, "from", c.RemoteAddr(), "err", err)
+			transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 			return true
 		}
 		var say tableSay
 		h.desk.ask(func() { say.Stamp = h.takeDelta(d) })
-		rope.Answer(c, 200, say)
+		transport.Answer(c, 200, say)
 	case pathFetch:
 		var m fetchAsk
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			var say fetchSay
 			h.desk.ask(func() {
 				if h.table != nil {
 					say.Delta = h.delta(m.Stamp)
 				}
 			})
-			rope.Answer(c, 200, say)
+			transport.Answer(c, 200, say)
 		}
 	case pathBid:
 		var m bidAsk
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			if say, err := h.handleBid(m); err != nil {
-				rope.Answer(c, 503, map[string]string{"Error": err.Error()})
+				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
 			} else {
-				rope.Answer(c, 200, say)
+				transport.Answer(c, 200, say)
 			}
 		}
 	case pathHearsay:
 		var m hearsay
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			h.desk.ask(func() { h.handleHearsay(m) })
-			rope.Answer(c, 200, struct{}{})
+			transport.Answer(c, 200, struct{}{})
 		}
 	case pathEnlist:
-		var l cairn.Larder
-		if !rope.Read(c, &l) {
+		var l consensus.Larder
+		if !transport.Read(c, &l) {
 			return true
 		}
 		if h.handleEnlist(l) {
-			rope.Answer(c, 200, struct{}{})
+			transport.Answer(c, 200, struct{}{})
 		} else {
-			rope.Answer(c, 503, map[string]string{"Error": "not agreed"})
+			transport.Answer(c, 503, map[string]string{"Error": "not agreed"})
 		}
 	case pathTally:
 		var m tally
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			h.desk.ask(func() { h.takeTally(m) })
-			rope.Answer(c, 200, struct{}{})
+			transport.Answer(c, 200, struct{}{})
 		}
 	case pathLedger:
 		var m ledger
-		if rope.Read(c, &m) {
+		if transport.Read(c, &m) {
 			h.desk.ask(func() { h.takeLedger(m) })
-			rope.Answer(c, 200, struct{}{})
+			transport.Answer(c, 200, struct{}{})
 		}
 	case pathRoll:
 		var r roll
 		h.desk.ask(func() { r = h.roll() })
-		rope.Answer(c, 200, r)
+		transport.Answer(c, 200, r)
 	case pathSilent:
-		rope.Answer(c, 200, h.sayMembers())
+		transport.Answer(c, 200, h.sayMembers())
 	case pathKeep:
 		if held, err := h.keep(); err != nil {
-			rope.Answer(c, 503, map[string]string{"Error": err.Error()})
+			transport.Answer(c, 503, map[string]string{"Error": err.Error()})
 		} else {
-			rope.Answer(c, 200, held)
+			transport.Answer(c, 200, held)
 		}
 	case pathJoin:
 		var m joinAsk
-		if rope.Read(c, &m) {
-			rope.Answer(c, 200, h.handleJoin(m))
+		if transport.Read(c, &m) {
+			transport.Answer(c, 200, h.handleJoin(m))
 		}
 	case pathWatch:
 		var m watchAsk
-		if rope.Read(c, &m) {
-			rope.Answer(c, 200, h.handleWatch(m))
+		if transport.Read(c, &m) {
+			transport.Answer(c, 200, h.handleWatch(m))
 		}
 	default:
 		return false
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/larder"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rations"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/cache"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/transport"
+	"swiftswitch/internal/upstream"
 )
 
 // larderAsk asks for an object, larderSay goes with the answer, in a header:
@@ -35,15 +35,15 @@
 type larderSay struct {
 	// Status is 200 for a copy, 202 while it is being fetched, the origin's
 	// status for an answer passed on, and 502 to 504 for a failure of ours.
-	Status int            `json:"X"`
-	Fields []larder.Field `json:"F,omitempty"`
-	ETag   string         `json:"E,omitempty"`
-	Stamp  string         `json:"S,omitempty"`
-	Tags   []string       `json:"T,omitempty"`
-	Known  int64          `json:"K,omitempty"`
-	AgeMs  int64          `json:"A,omitempty"`
-	BackMs int64          `json:"B,omitempty"`
-	Passed bool           `json:"P,omitempty"`
+	Status int           `json:"X"`
+	Fields []cache.Field `json:"F,omitempty"`
+	ETag   string        `json:"E,omitempty"`
+	Stamp  string        `json:"S,omitempty"`
+	Tags   []string      `json:"T,omitempty"`
+	Known  int64         `json:"K,omitempty"`
+	AgeMs  int64         `json:"A,omitempty"`
+	BackMs int64         `json:"B,omitempty"`
+	Passed bool          `json:"P,omitempty"`
 }
 
 // statusClosed: the node has no part of the service's ceiling now.
@@ -75,9 +75,9 @@
 	t *trail
 
 	mu       sync.Mutex
-	shelf    *larder.Shelf
-	stove    *larder.Stove
-	ceilings map[string]*rations.Ceiling
+	shelf    *cache.Shelf
+	stove    *cache.Stove
+	ceilings map[string]*ratelimit.Ceiling
 	kick     chan struct{}
 	fetched  int64
 	ids      int64
@@ -85,7 +85,7 @@
 }
 
 func newKitchen(n *Node, t *trail, limit int) *kitchen {
-	return &kitchen{n: n, t: t, shelf: larder.NewShelf(limit), stove: larder.NewStove(), ceilings: map[string]*rations.Ceiling{}, kick: make(chan struct{}, 1), name: randomName()}
+	return &kitchen{n: n, t: t, shelf: cache.NewShelf(limit), stove: cache.NewStove(), ceilings: map[string]*ratelimit.Ceiling{}, kick: make(chan struct{}, 1), name: randomName()}
 }
 
 func (k *kitchen) wake() {
@@ -157,7 +157,7 @@
 	share := k.share(service)
 	c := k.ceilings[service]
 	if c == nil {
-		c = &rations.Ceiling{}
+		c = &ratelimit.Ceiling{}
 		c.Set(0, 0, now)
 		k.ceilings[service] = c
 	}
@@ -178,7 +178,7 @@
 		if f == nil {
 			break
 		}
-		var old *larder.Copy
+		var old *cache.Copy
 		if c, _ := k.shelf.Peek(f.Key()); c != nil && c.Service == service {
 			old = c
 		}
@@ -188,7 +188,7 @@
 }
 
 // fetch asks one searcher for the whole object, or whether the copy held still is the newest.
-func (k *kitchen) fetch(f *larder.Flight, old *larder.Copy) {
+func (k *kitchen) fetch(f *cache.Flight, old *cache.Copy) {
 	k.mu.Lock()
 	k.ids++
 	k.fetched++
@@ -210,19 +210,19 @@
 		return
 	}
 	left := until - k.n.steady()
-	ask := traverse.Read(id, f.Host, f.Target, etag)
+	ask := upstream.Read(id, f.Host, f.Target, etag)
 	ask.Aim = aim
 	o := k.t.rng.Try(peer, ask, start, time.Now().Add(left))
 	defer o.Release()
 	switch {
-	case o.Verdict == traverse.Answered && o.Status == 304 && old != nil:
+	case o.Verdict == upstream.Answered && o.Status == 304 && old != nil:
 		k.done(f, old.Confirmed(f.Began, f.Known), nil)
 	case o.Good() && o.Status == 200 && len(o.Resp.Header.Peek("ETag")) > 0:
 		k.done(f, k.copyOf(f, &o), nil)
-	case o.Verdict == traverse.Answered && (o.Good() || o.Status >= 300) && o.Status < 500 && o.Status != 304 && o.Status != 429:
+	case o.Verdict == upstream.Answered && (o.Good() || o.Status >= 300) && o.Status < 500 && o.Status != 304 && o.Status != 429:
 		c := k.copyOf(f, &o)
-		k.done(f, nil, &larder.Passed{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
-	case o.Verdict == traverse.NotRun:
+		k.done(f, nil, &cache.Passed{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
+	case o.Verdict == upstream.NotRun:
 		k.failed(f, 503, "the searcher is full")
 	default:
 		k.failed(f, 502, "no whole answer")
@@ -230,29 +230,29 @@
 }
 
 // copyOf takes the searcher's answer as a copy.
-func (k *kitchen) copyOf(f *larder.Flight, o *traverse.Outcome) *larder.Copy {
-	c := &larder.Copy{Host: f.Host, Target: f.Target, Service: f.Service, Stamp: o.Stamp, Born: f.Began, Known: f.Known}
+func (k *kitchen) copyOf(f *cache.Flight, o *upstream.Outcome) *cache.Copy {
+	c := &cache.Copy{Host: f.Host, Target: f.Target, Service: f.Service, Stamp: o.Stamp, Born: f.Began, Known: f.Known}
 	c.Body = append([]byte(nil), o.Resp.Body()...)
 	o.Resp.Header.VisitAll(func(key, val []byte) {
 		name, v := string(key), string(val)
 		switch name {
-		case "Content-Length", "Swiftswitch-Request-Id", traverse.HeaderStamp, traverse.HeaderInstance, traverse.HeaderLoad, "Content-Range":
+		case "Content-Length", "Swiftswitch-Request-Id", upstream.HeaderStamp, upstream.HeaderInstance, upstream.HeaderLoad, "Content-Range":
 			return
 		case "ETag", "Etag":
 			c.ETag = v
 			return
-		case larder.HeaderTags:
-			c.Tags = larder.SplitTags(v)
+		case cache.HeaderTags:
+			c.Tags = cache.SplitTags(v)
 		}
-		if !traverse.IsHop(name) {
-			c.Fields = append(c.Fields, larder.Field{Name: name, Value: v})
+		if !upstream.IsHop(name) {
+			c.Fields = append(c.Fields, cache.Field{Name: name, Value: v})
 		}
 	})
 	return c
 }
 
 // done ends a fetch that brought something.
-func (k *kitchen) done(f *larder.Flight, c *larder.Copy, p *larder.Passed) {
+func (k *kitchen) done(f *cache.Flight, c *cache.Copy, p *cache.Passed) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.n.steady()
@@ -273,7 +273,7 @@
 }
 
 // failed lets a fetch try once more, or ends it.
-func (k *kitchen) failed(f *larder.Flight, status int, why string) {
+func (k *kitchen) failed(f *cache.Flight, status int, why string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if f.Tries < 3 && f.Wait(k.n.steady()) {
@@ -292,7 +292,7 @@
 		// The asker has heard of a purge that this node has not: it is on its way.
 		time.Sleep(k.n.heartbeat(0.01))
 	}
-	key := larder.Key(a.Host, a.Target)
+	key := cache.Key(a.Host, a.Target)
 	for {
 		k.mu.Lock()
 		now := k.n.steady()
@@ -338,7 +338,7 @@
 }
 
 // expect is about how long it takes until a fetch has ended; it runs under the lock.
-func (k *kitchen) expect(f *larder.Flight, now time.Duration) time.Duration {
+func (k *kitchen) expect(f *cache.Flight, now time.Duration) time.Duration {
 	typical, _ := k.t.rng.Latency(f.Service)
 	if f.Running {
 		return max(0, f.Began+typical-now)
@@ -350,7 +350,7 @@
 }
 
 // ahead confirms a copy in use before it is too old, where nothing else waits.
-func (k *kitchen) ahead(c *larder.Copy, lifetime, now time.Duration) {
+func (k *kitchen) ahead(c *cache.Copy, lifetime, now time.Duration) {
 	if float64(c.Age(now)) < refreshAt*float64(lifetime) {
 		return
 	}
@@ -362,14 +362,14 @@
 	}
 }
 
-func say(c *larder.Copy, known int64, now time.Duration) (larderSay, []byte) {
+func say(c *cache.Copy, known int64, now time.Duration) (larderSay, []byte) {
 	return larderSay{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, Known: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
 }
 
 // handle takes a front's ask.
 func (k *kitchen) handle(c *app.RequestContext) {
 	var a larderAsk
-	if !rope.Read(c, &a) {
+	if !transport.Read(c, &a) {
 		return
 	}
 	s := larderSay{Status: 503}
@@ -394,10 +394,10 @@
 		if l := k.t.larders.Load(); l != nil && l.on || k.n.leaving.Load() {
 			continue
 		}
-		self := cairn.Larder{Name: k.n.set().NodeName, IP: k.n.set().IpAddress, Zone: k.n.set().Zone}
+		self := consensus.Larder{Name: k.n.set().NodeName, IP: k.n.set().IpAddress, Zone: k.n.set().Zone}
 		for _, ip := range k.t.hutIPs() {
-			if k.n.call.Ask(k.n.set().RopeAddr(ip), pathEnlist, self, nil, signpost.Ms(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
-				logbook.Log(logbook.LarderListed, "by", ip)
+			if k.n.call.Ask(k.n.set().RopeAddr(ip), pathEnlist, self, nil, config.Ms(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
+				events.Log(events.LarderListed, "by", ip)
 				break
 			}
 		}
--- a/internal/lodge/larder_test.go
+++ b/internal/lodge/larder_test.go
@@ -37,7 +37,7 @@
 		w.run(n, true, 1, 2, 3)
 	}
 	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", config(3, "s1"))
+		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
 	w.eventually("both larders may fetch", func() bool {
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/warden"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/lease"
 )
 
 // dutyList is the duty to read the platform's list.
@@ -17,14 +17,14 @@
 type tableAt struct {
 	voter string
 	epoch int64
-	stamp hutbook.Stamp
+	stamp endpoints.Stamp
 }
 
 // leaseLoop asks for the duty's lease where this node is the one to have it,
 // and gives it back where it is not. Renewals go with the beats.
 func (h *hut) leaseLoop() {
 	for {
-		var release, bid warden.Bid
+		var release, bid lease.Bid
 		var yields, asks, holds bool
 		var to map[string]string
 		h.desk.ask(func() {
@@ -74,7 +74,7 @@
 }
 
 // bid asks one voter for the lease.
-func (h *hut) bid(b warden.Bid, id, ip string) {
+func (h *hut) bid(b lease.Bid, id, ip string) {
 	var say bidSay
 	var err error
 	sent := h.n.steady()
@@ -101,25 +101,25 @@
 	epoch, holds := h.duty.Token(now)
 	switch {
 	case holds && epoch != h.acting:
-		logbook.Log(logbook.DutyTaken, "epoch", epoch)
+		events.Log(events.DutyTaken, "epoch", epoch)
 		h.acting = epoch
 		select {
 		case h.taken <- struct{}{}:
 		default:
 		}
 	case !holds && h.acting != 0:
-		logbook.Log(logbook.DutyLeft, "epoch", h.acting, "known", h.duty.Epoch, "holder", h.duty.Holder)
+		events.Log(events.DutyLeft, "epoch", h.acting, "known", h.duty.Epoch, "holder", h.duty.Holder)
 		h.acting = 0
 	}
 	if unfit := !h.duty.Fit(now); unfit != h.unfit {
 		if h.unfit = unfit; unfit {
-			logbook.Log(logbook.DutyUnfit)
+			events.Log(events.DutyUnfit)
 		}
 	}
 }
 
 // release gives a lease back before its time.
-func (h *hut) release(b warden.Bid) {
+func (h *hut) release(b lease.Bid) {
 	for _, v := range h.state().Voters {
 		if v.IP == h.n.set().IpAddress {
 			_, _ = h.handleBid(bidAsk{Bid: b, Release: true})
@@ -172,13 +172,13 @@
 }
 
 // grant lets the voter answer; it runs on the desk.
-func (h *hut) grant(b warden.Bid, now time.Duration) (warden.Grant, int64) {
+func (h *hut) grant(b lease.Bid, now time.Duration) (lease.Grant, int64) {
 	h.voter.Unsettle(h.acc.Value != nil && len(h.acc.Value.Voters) > 0)
 	return h.voter.Take(b, now)
 }
 
 // renewals go with a beat of the holder; it runs on the desk.
-func (h *hut) renewals(now time.Duration) (b warden.Bid, out map[string]renewal) {
+func (h *hut) renewals(now time.Duration) (b lease.Bid, out map[string]renewal) {
 	if h.n.leaving.Load() {
 		return b, nil
 	}
@@ -196,7 +196,7 @@
 // the others must be bid for. It runs on the desk.
 func (h *hut) renew(m beat) (granted []string) {
 	for duty, r := range m.Renews {
-		if g, write := h.grant(warden.Bid{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.n.steady()); g.OK && write == 0 {
+		if g, write := h.grant(lease.Bid{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.n.steady()); g.OK && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
@@ -204,15 +204,15 @@
 }
 
 // renewed takes the answer to renewals sent then; it runs on the desk.
-func (h *hut) renewed(b warden.Bid, say beat, sent time.Duration) {
+func (h *hut) renewed(b lease.Bid, say beat, sent time.Duration) {
 	if b.Epoch > 0 && slices.Contains(say.Granted, b.Duty) {
-		h.duty.Answer(b, warden.Grant{Voter: say.ID, OK: true}, sent, h.n.steady())
+		h.duty.Answer(b, lease.Grant{Voter: say.ID, OK: true}, sent, h.n.steady())
 	}
 }
 
 // yield gives the duty back for good: this node leaves.
 func (h *hut) yield() {
-	var b warden.Bid
+	var b lease.Bid
 	yields := false
 	h.desk.ask(func() { b, yields = h.duty.Yield(true, h.n.steady()) })
 	if yields {
--- a/internal/lodge/lease_test.go
+++ b/internal/lodge/lease_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/transport"
 )
 
 // onPort lets the nodes make their calls to another port; a part of the town
@@ -24,13 +24,13 @@
 func (w *town) also(port int, names ...string) {
 	for _, name := range names {
 		n := w.nodes[name]
-		s := signpost.Settings{}
+		s := config.Settings{}
 		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
-		ln, ok := rope.Listen(s.RopeAddr(n.set().IpAddress), n.userTimeout(), n.heartbeat(0.1), n.stop)
+		ln, ok := transport.Listen(s.RopeAddr(n.set().IpAddress), n.userTimeout(), n.heartbeat(0.1), n.stop)
 		if !ok {
 			w.t.Fatal("a node does not listen")
 		}
-		rope.Serve(ln, n.listener(2*time.Second), func(ctx context.Context, c *app.RequestContext) { n.handleRope(ctx, c) })
+		transport.Serve(ln, n.listener(2*time.Second), func(ctx context.Context, c *app.RequestContext) { n.handleRope(ctx, c) })
 		n.sockets = append(n.sockets, ln)
 	}
 }
@@ -85,7 +85,7 @@
 	for _, call := range []struct {
 		method, match, body string
 		want                int
-	}{{"GET", "", "", 503}, {"PUT", "3", config(4, "s1", "s2"), 503}, {"PUT", "0", config(3, "s1", "s2"), 200}} {
+	}{{"GET", "", "", 503}, {"PUT", "3", configBody(4, "s1", "s2"), 503}, {"PUT", "0", configBody(3, "s1", "s2"), 200}} {
 		at := time.Now()
 		status, text := w.control(1, call.method, call.match, call.body)
 		if took := time.Since(at); status != call.want || took > one.n.heartbeat(2) {
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -8,12 +8,12 @@
 	"syscall"
 	"time"
 
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/events"
 )
 
 // tune fits the runtime to the machine.
-func tune(s *signpost.Settings) {
+func tune(s *config.Settings) {
 	runtime.GOMAXPROCS(1)
 	if mb := s.Limits.MemoryMb; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * 0.6 * (1 << 20)))
@@ -48,26 +48,26 @@
 
 // reload takes a changed settings file, or keeps the old settings.
 func (n *Node) reload() {
-	s, err := signpost.LoadSettings(n.path)
+	s, err := config.LoadSettings(n.path)
 	old := n.set()
 	switch {
 	case err != nil:
-		logbook.Log(logbook.SettingsKept, "err", err)
+		events.Log(events.SettingsKept, "err", err)
 		return
 	case s.IpAddress != old.IpAddress || s.RopePort() != old.RopePort() || s.HasDisk() != old.HasDisk():
-		logbook.Log(logbook.SettingsKept, "err", "IpAddress, InternalPortRange and DataDirectory can't change while the node runs")
+		events.Log(events.SettingsKept, "err", "IpAddress, InternalPortRange and DataDirectory can't change while the node runs")
 		return
 	}
 	s.DataDirectory = old.DataDirectory
 	n.settings.Store(s)
-	logbook.Log(logbook.SettingsReloaded)
+	events.Log(events.SettingsReloaded)
 }
 
 // drain leaves in order, inside GraceS.
 func (n *Node) drain() {
 	start := time.Now()
-	grace := signpost.Sec(n.set().Bounds.GraceS, 1)
-	logbook.Log(logbook.Draining, "grace", grace)
+	grace := config.Sec(n.set().Bounds.GraceS, 1)
+	events.Log(events.Draining, "grace", grace)
 	n.leaving.Store(true)
 	if n.trail != nil {
 		n.trail.leave(start, grace)
--- a/internal/lodge/lodge_test.go
+++ b/internal/lodge/lodge_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/logbook"
+	"swiftswitch/internal/events"
 )
 
 func TestMain(m *testing.M) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	os.Exit(m.Run())
 }
 
@@ -40,7 +40,7 @@
 		w.run(n, true, 1, 2, 3)
 	}
 	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", config(3, "s1", "s2"))
+		status, _ := w.control(2, "PUT", "0", configBody(3, "s1", "s2"))
 		return status == 200
 	})
 	w.eventually("the fronts are ready and know the searchers", func() bool {
@@ -179,19 +179,19 @@
 
 func TestOperator(t *testing.T) {
 	w, _ := start(t)
-	if st, body := w.control(3, "GET", "", ""); st != 200 || body != config(3, "s1", "s2") {
+	if st, body := w.control(3, "GET", "", ""); st != 200 || body != configBody(3, "s1", "s2") {
 		t.Fatalf("read back: %d %q", st, body)
 	}
 	for what, c := range map[string][3]string{
 		"not json":          {"3", "nonsense", "400"},
-		"truncated":         {"3", config(5, "s1")[:80], "400"},
-		"not above":         {"3", config(3, "s1"), "400"},
-		"no If-Match":       {"", config(5, "s1"), "400"},
-		"an older base":     {"2", config(5, "s1"), "412"},
-		"a base to come":    {"9", config(11, "s1"), "412"},
-		"an unknown one":    {"3", strings.Replace(config(5, "s1"), `["s1"]`, `["w"]`, 1), "400"},
-		"resent, other":     {"0", config(3, "s1"), "412"},
-		"resent as it was":  {"0", config(3, "s1", "s2"), "200"},
+		"truncated":         {"3", configBody(5, "s1")[:80], "400"},
+		"not above":         {"3", configBody(3, "s1"), "400"},
+		"no If-Match":       {"", configBody(5, "s1"), "400"},
+		"an older base":     {"2", configBody(5, "s1"), "412"},
+		"a base to come":    {"9", configBody(11, "s1"), "412"},
+		"an unknown one":    {"3", strings.Replace(configBody(5, "s1"), `["s1"]`, `["w"]`, 1), "400"},
+		"resent, other":     {"0", configBody(3, "s1"), "412"},
+		"resent as it was":  {"0", configBody(3, "s1", "s2"), "200"},
 		"put with no route": {"3", `{"Version":4,"Routes":[{"Name":"x"}]}`, "400"},
 	} {
 		if st, body := w.control(1, "PUT", c[0], c[1]); fmt.Sprint(st) != c[2] {
@@ -199,10 +199,10 @@
 		}
 	}
 	// Any node takes control calls and passes on what it can't settle.
-	if st, body := w.control(11, "PUT", "3", config(6, "s1", "s2")); st != 200 {
+	if st, body := w.control(11, "PUT", "3", configBody(6, "s1", "s2")); st != 200 {
 		t.Fatalf("by way of a front: %d %s", st, body)
 	}
-	if st, body := w.control(12, "GET", "", ""); st != 200 || body != config(6, "s1", "s2") {
+	if st, body := w.control(12, "GET", "", ""); st != 200 || body != configBody(6, "s1", "s2") {
 		t.Fatalf("read by way of a front: %d", st)
 	}
 	// Two operators on one base at different nodes: one wins.
@@ -214,7 +214,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				st[k], _ = w.control(1+k, "PUT", fmt.Sprint(base), config(base+1+k, "s1", "s2"))
+				st[k], _ = w.control(1+k, "PUT", fmt.Sprint(base), configBody(base+1+k, "s1", "s2"))
 			}()
 		}
 		wg.Wait()
@@ -226,7 +226,7 @@
 		} else {
 			base += 2
 		}
-		if got, body := w.control(3, "GET", "", ""); got != 200 || body != config(base, "s1", "s2") {
+		if got, body := w.control(3, "GET", "", ""); got != 200 || body != configBody(base, "s1", "s2") {
 			t.Fatalf("race %d: the winner is not in force", i)
 		}
 	}
@@ -245,7 +245,7 @@
 		s[id] = w.searcher(strings.Split(id, "-")[0], id)
 	}
 	time.Sleep(500 * time.Millisecond)
-	if st, body := w.control(1, "PUT", "3", config(5, "n1", "n2")); st != 200 {
+	if st, body := w.control(1, "PUT", "3", configBody(5, "n1", "n2")); st != 200 {
 		t.Fatalf("%d %s", st, body)
 	}
 	old := 0
@@ -273,7 +273,7 @@
 	}
 	// A shard that never has R searchers does not hold the switch up.
 	at := time.Now()
-	if st, body := w.control(1, "PUT", "5", config(8, "n1", "n3")); st != 200 {
+	if st, body := w.control(1, "PUT", "5", configBody(8, "n1", "n3")); st != 200 {
 		t.Fatalf("%d %s", st, body)
 	}
 	w.eventually("the unready cut serves", func() bool {
@@ -287,7 +287,7 @@
 
 func TestLostDiskAndReplacedHut(t *testing.T) {
 	w, _ := start(t)
-	if st, _ := w.control(1, "PUT", "3", config(4, "s1", "s2")); st != 200 {
+	if st, _ := w.control(1, "PUT", "3", configBody(4, "s1", "s2")); st != 200 {
 		t.Fatal(st)
 	}
 	// Hut 1 loses its disk right after it acknowledged.
@@ -298,7 +298,7 @@
 		s := w.nodes["2"].hut.state()
 		return s.Votes(w.nodes["1"].hut.acc.ID) && len(s.Voters) == 3
 	})
-	if st, body := w.control(1, "GET", "", ""); st != 200 || body != config(4, "s1", "s2") {
+	if st, body := w.control(1, "GET", "", ""); st != 200 || body != configBody(4, "s1", "s2") {
 		t.Fatalf("after a lost disk: %d %q", st, body)
 	}
 	// Hut 3 goes for good; an empty one comes at another address.
@@ -309,13 +309,13 @@
 		return s.Votes(w.nodes["4"].hut.acc.ID) && len(s.Voters) == 3
 	})
 	w.eventually("changes go on", func() bool {
-		st, _ := w.control(4, "PUT", "4", config(5, "s1", "s2"))
+		st, _ := w.control(4, "PUT", "4", configBody(5, "s1", "s2"))
 		return st == 200
 	})
 	// A minority acknowledges nothing and does not pretend to know.
 	w.stop("1")
 	w.stop("2")
-	if st, _ := w.control(4, "PUT", "5", config(6, "s1", "s2")); st == 200 {
+	if st, _ := w.control(4, "PUT", "5", configBody(6, "s1", "s2")); st == 200 {
 		t.Fatal("a minority acknowledged")
 	}
 	if st, _ := w.control(4, "PUT", "5", "nonsense"); st != 400 {
@@ -342,7 +342,7 @@
 	w.run(2, false, 4, 1)
 	w.eventually("the newest acknowledged version is read back", func() bool {
 		st, body := w.control(2, "GET", "", "")
-		return st == 200 && (body == config(5, "s1", "s2") || body == config(6, "s1", "s2"))
+		return st == 200 && (body == configBody(5, "s1", "s2") || body == configBody(6, "s1", "s2"))
 	})
 }
 
@@ -359,13 +359,13 @@
 		w.run(n, true, 1, 2, 3)
 	}
 	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", config(3, "s1"))
+		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
 	if v := w.nodes["2"].hut.state().Voters; len(v) != 5 {
 		t.Fatalf("acknowledged with %d voters", len(v))
 	}
-	if st, _ := w.control(4, "PUT", "3", config(4, "s1")); st != 200 {
+	if st, _ := w.control(4, "PUT", "3", configBody(4, "s1")); st != 200 {
 		t.Fatal(st)
 	}
 	w.eventually("the front serves", func() bool { r, _, _ := w.ask(11, "GET", "/p/x", ""); return r.StatusCode == 200 })
@@ -378,7 +378,7 @@
 	}
 	w.eventually("what was acknowledged is read back", func() bool {
 		st, body := w.control(1, "GET", "", "")
-		return st == 200 && body == config(4, "s1")
+		return st == 200 && body == configBody(4, "s1")
 	})
 	w.eventually("the empty disks vote under new identities", func() bool {
 		st := w.nodes["3"].hut.state()
@@ -428,7 +428,7 @@
 	for _, id := range []string{"f1-far", "f2-far", "f3-far"} {
 		s[id] = w.searcher(strings.Split(id, "-")[0], id)
 	}
-	if st, body := w.control(1, "PUT", "3", config(5, "s1", "f1", "f2", "f3")); st != 200 {
+	if st, body := w.control(1, "PUT", "3", configBody(5, "s1", "f1", "f2", "f3")); st != 200 {
 		t.Fatalf("%d %s", st, body)
 	}
 	want := top(7, "s1", "f1", "f2", "f3")
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/endpoints"
 )
 
 // Hundreds of fronts ask one hut at the same moment, twice: each gets the whole
@@ -16,10 +16,10 @@
 	const fronts = 240
 	hut := w.nodes["1"].hut
 	to := w.nodes["1"].set().RopeAddr(w.ip(1))
-	var tables []*hutbook.Table
+	var tables []*endpoints.Table
 	for round := 0; round < 2; round++ {
 		var wg sync.WaitGroup
-		tables = make([]*hutbook.Table, fronts)
+		tables = make([]*endpoints.Table, fronts)
 		for i := range tables {
 			wg.Add(1)
 			go func() {
@@ -40,7 +40,7 @@
 					t.Errorf("what came can't be read: %v", err)
 					return
 				}
-				tables[i] = (*hutbook.Table)(nil).Follow(d)
+				tables[i] = (*endpoints.Table)(nil).Follow(d)
 			}()
 		}
 		wg.Wait()
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -6,29 +6,29 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/bivouac"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/membership"
 )
 
 // Membership among the huts. Who gets which place is decided in bivouac; here
 // is who asks whom, and for how long.
 
 // longSilence is after how long a voter may lose its place.
-func (h *hut) longSilence() time.Duration { return signpost.Sec(h.n.set().Bounds.CatchUpS, 0.5) }
+func (h *hut) longSilence() time.Duration { return config.Sec(h.n.set().Bounds.CatchUpS, 0.5) }
 
 // tick notes that this node runs; it runs on the desk.
 func (h *hut) tick() {
 	if h.watch.Tick(h.n.steady()) {
-		logbook.Log(logbook.WokeUp)
+		events.Log(events.WokeUp)
 	}
 }
 
 // hearFronts remembers how many fronts another hut counts: a node that nobody
 // watches, or that is young, goes by it. It runs on the desk.
 func (h *hut) hearFronts(n int, now time.Duration) {
-	if now < signpost.Sec(h.n.set().Bounds.RetryWindowS, 1) {
+	if now < config.Sec(h.n.set().Bounds.RetryWindowS, 1) {
 		h.before = max(h.before, n)
 	}
 	if n > h.frontsKept {
@@ -38,10 +38,10 @@
 }
 
 // sayMembers is what this node tells a judge.
-func (h *hut) sayMembers() (say bivouac.Say) {
+func (h *hut) sayMembers() (say membership.Say) {
 	h.desk.ask(func() {
 		now := h.n.steady()
-		say = bivouac.Say{ID: h.acc.ID, Slot: h.acc.State.Slot, Leaving: h.n.leaving.Load()}
+		say = membership.Say{ID: h.acc.ID, Slot: h.acc.State.Slot, Leaving: h.n.leaving.Load()}
 		for _, v := range h.acc.State.Voters {
 			if v.ID != h.acc.ID && h.watch.Silent(v.ID, now) > h.longSilence() {
 				say.Silent = append(say.Silent, v.ID)
@@ -68,14 +68,14 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3)):
+	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3)):
 		err = errors.New("the disk takes too long")
 	}
 	return held, err
 }
 
 // confirm sees to it that another hut has s, or something newer, on its disk.
-func (h *hut) confirm(ip string, s cairn.State, until time.Time) (held beat, ok bool) {
+func (h *hut) confirm(ip string, s consensus.State, until time.Time) (held beat, ok bool) {
 	addr := h.n.set().RopeAddr(ip)
 	for try := 0; ; try++ {
 		within := min(h.n.heartbeat(0.6), time.Until(until))
@@ -100,7 +100,7 @@
 
 // chase tells a voter again that did not confirm a decided slot; what comes
 // later than this is left to the beats.
-func (h *hut) chase(ip string, s cairn.State) {
+func (h *hut) chase(ip string, s consensus.State) {
 	for try := 0; try < chaseTries; try++ {
 		select {
 		case <-h.n.stop:
@@ -199,12 +199,12 @@
 			break
 		}
 		slot, fits := int64(0), false
-		for _, at := range []int64{s.Slot, cairn.Nothing} {
+		for _, at := range []int64{s.Slot, consensus.Nothing} {
 			var got news
-			if fits || len(s.Voters) == 0 && at != cairn.Nothing {
+			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
 				continue
 			}
-			if h.n.call.Ask(h.n.set().RopeAddr(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == cairn.Nothing && len(got.Voters) == 0 {
+			if h.n.call.Ask(h.n.set().RopeAddr(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -216,7 +216,7 @@
 		if h.kept() < slot {
 			return nil
 		}
-		logbook.Log(logbook.CaughtUp, "slot", slot, "from", x.ip)
+		events.Log(events.CaughtUp, "slot", slot, "from", x.ip)
 		s = h.state()
 		break
 	}
@@ -238,8 +238,8 @@
 			asked++
 			go func() {
 				var say joinSay
-				err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.4))
-				logbook.Log(logbook.JoinAsked, "of", ip, "votes", say.Votes, "err", err)
+				err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.4))
+				events.Log(events.JoinAsked, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
 		}
@@ -260,8 +260,8 @@
 }
 
 // canvass asks the voters and the newcomer, and judges.
-func (h *hut) canvass(m joinAsk, s cairn.State) ([]cairn.Voter, bivouac.Verdict) {
-	c := bivouac.Case{Self: h.acc.ID, Base: s, Newcomer: cairn.Voter{ID: m.ID, IP: m.IP}, Held: m.Slot, Wanted: h.wanted(), Left: map[string]bool{}, Voters: []bivouac.Say{h.sayMembers()}}
+func (h *hut) canvass(m joinAsk, s consensus.State) ([]consensus.Voter, membership.Verdict) {
+	c := membership.Case{Self: h.acc.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, Held: m.Slot, Wanted: h.wanted(), Left: map[string]bool{}, Voters: []membership.Say{h.sayMembers()}}
 	h.desk.ask(func() {
 		for _, v := range s.Voters {
 			if o, ok := h.others[v.IP]; ok && o.id == v.ID && o.leaving {
@@ -271,7 +271,7 @@
 	})
 	type answer struct {
 		ip  string
-		say *bivouac.Say
+		say *membership.Say
 	}
 	ips := []string{m.IP}
 	for _, v := range s.Voters {
@@ -282,7 +282,7 @@
 	in := make(chan answer, len(ips))
 	for _, ip := range ips {
 		go func() {
-			var say bivouac.Say
+			var say membership.Say
 			if h.n.call.Ask(h.n.set().RopeAddr(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
@@ -301,7 +301,7 @@
 			c.Voters = append(c.Voters, *a.say)
 		}
 		// What no further answer can change need not wait for those that are cut off.
-		if voters, v := c.Judge(); v == bivouac.Seated || v == bivouac.Behind || v == bivouac.Returns || v == bivouac.Grows {
+		if voters, v := c.Judge(); v == membership.Seated || v == membership.Behind || v == membership.Returns || v == membership.Grows {
 			return voters, v
 		}
 	}
@@ -315,14 +315,14 @@
 	if m.ID == "" || m.IP == "" {
 		return joinSay{}
 	}
-	until := time.Now().Add(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.35))
+	until := time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.35))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.state()
 		voters, v := h.canvass(m, s)
 		switch v {
-		case bivouac.Seated:
+		case membership.Seated:
 			return joinSay{Votes: h.seated(s, until), Slot: s.Slot}
-		case bivouac.Behind:
+		case membership.Behind:
 			h.round(s, nil)
 			continue
 		}
@@ -340,7 +340,7 @@
 		}
 		if chosen, ok := h.seat(m, s.Voters, voters, until); ok {
 			on := h.seated(chosen, until)
-			logbook.Log(logbook.PlaceGiven, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
+			events.Log(events.PlaceGiven, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
 			return joinSay{Votes: on, Slot: chosen.Slot}
 		}
 	}
@@ -348,9 +348,9 @@
 }
 
 // seat has the voters changed from those that the case was judged by.
-func (h *hut) seat(m joinAsk, from, to []cairn.Voter, until time.Time) (cairn.State, bool) {
+func (h *hut) seat(m joinAsk, from, to []consensus.Voter, until time.Time) (consensus.State, bool) {
 	if !h.proposing.LockFirst(time.Until(until)) {
-		return cairn.State{}, false
+		return consensus.State{}, false
 	}
 	defer h.proposing.Unlock()
 	for try := 0; time.Now().Before(until); try++ {
@@ -365,11 +365,11 @@
 		if held, ok := h.confirm(m.IP, s, earlier(until, time.Now().Add(h.n.heartbeat(0.6)))); !ok || held.ID != m.ID || held.Leaving {
 			return s, false
 		}
-		if !h.round(s, &cairn.Value{Voters: to}) {
+		if !h.round(s, &consensus.Value{Voters: to}) {
 			h.pause(min(try, 2))
 		}
 	}
-	return cairn.State{}, false
+	return consensus.State{}, false
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -380,7 +380,7 @@
 }
 
 // seated waits until a majority of the voters has their set on disk.
-func (h *hut) seated(s cairn.State, until time.Time) bool {
+func (h *hut) seated(s consensus.State, until time.Time) bool {
 	in := make(chan bool, len(s.Voters))
 	for _, v := range s.Voters {
 		go func() {
@@ -453,8 +453,8 @@
 					held++
 				}
 			}
-			young := h.n.steady() <= signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.75)
-			enough = bivouac.Enough(len(s.Voters), leaving, h.standbys(), held, h.losses(), young)
+			young := h.n.steady() <= config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.75)
+			enough = membership.Enough(len(s.Voters), leaving, h.standbys(), held, h.losses(), young)
 		})
 		if enough {
 			return true
@@ -480,7 +480,7 @@
 		time.Sleep(h.n.heartbeat(0.01))
 	}
 	p := h.handOff(at(0.66))
-	logbook.Log(logbook.HandedOff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
+	events.Log(events.HandedOff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
 	time.Sleep(time.Until(at(1.0 / 3)))
 	h.cellar.Close(grace / 4)
 }
@@ -489,7 +489,7 @@
 // it: before others hear that it leaves and have its place changed by that slot.
 func (h *hut) finishBegun(until time.Time) {
 	for try := 0; time.Now().Before(until); try++ {
-		var s cairn.State
+		var s consensus.State
 		begun := false
 		h.desk.ask(func() { s, begun = h.acc.State, h.acc.Value != nil })
 		if !begun || h.apart() {
@@ -503,15 +503,15 @@
 
 // handOff brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *hut) handOff(until time.Time) (p bivouac.Part) {
+func (h *hut) handOff(until time.Time) (p membership.Part) {
 	finish := make(chan struct{}, 1)
 	for {
-		var s cairn.State
+		var s consensus.State
 		var to []string
 		var mine beat
 		h.desk.ask(func() {
 			s, to, mine = h.acc.State, h.staying(), h.beat()
-			p = bivouac.Part{Begun: h.acc.Value != nil, Votes: s.Votes(h.acc.ID), Standby: h.standbys() > 0, Others: len(to), Losses: h.losses()}
+			p = membership.Part{Begun: h.acc.Value != nil, Votes: s.Votes(h.acc.ID), Standby: h.standbys() > 0, Others: len(to), Losses: h.losses()}
 		})
 		if p.Begun {
 			select {
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/bivouac"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/membership"
 )
 
 // core runs three huts with a first configuration.
@@ -22,7 +22,7 @@
 		w.run(n, true, 1, 2, 3)
 	}
 	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", config(3, "s1"))
+		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
 	return w
@@ -63,7 +63,7 @@
 			return
 		}
 		on := at[i%len(at)].state().Version
-		if st, _ := w.control(n, "PUT", fmt.Sprint(on), config(int(on)+1+i, "s1")); st == 200 {
+		if st, _ := w.control(n, "PUT", fmt.Sprint(on), configBody(int(on)+1+i, "s1")); st == 200 {
 			mu.Lock()
 			newest = max(newest, on+1+int64(i))
 			mu.Unlock()
@@ -130,7 +130,7 @@
 		for {
 			h.desk.ask(func() {
 				now := h.n.steady()
-				h.watch = bivouac.NewWatch(time.Hour, 0)
+				h.watch = membership.NewWatch(time.Hour, 0)
 				var ids []string
 				for _, v := range h.acc.State.Voters {
 					ids = append(ids, v.ID)
@@ -189,8 +189,8 @@
 	w.run(4, false, 3)
 	w.at(3, 1, 2, 3, 4)
 	h := w.hut(3)
-	var stamp hutbook.Stamp
-	m := cairnAsk{Ask: cairn.Ask{Slot: h.state().Slot + 1, Ballot: cairn.Ballot{N: 1 << 20, By: "gone"}, Value: &cairn.Value{Version: 9, Base: 3, Body: config(9, "s1"), Sent: "x"}}}
+	var stamp endpoints.Stamp
+	m := cairnAsk{Ask: consensus.Ask{Slot: h.state().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: configBody(9, "s1"), Sent: "x"}}}
 	for _, k := range []int{1, 3} {
 		if say, err := w.hut(k).vote(m); err != nil || !say.OK {
 			t.Errorf("hut %d has not accepted: %+v %v", k, say, err)
@@ -198,9 +198,9 @@
 	}
 	h.desk.ask(func() {
 		h.counted, h.frontsKept = 7, 7
-		stamp = hutbook.Stamp{Epoch: h.duty.Epoch + 5, By: h.acc.ID, Seq: 1}
-		list := []hutbook.Searcher{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
-		table, _ := hutbook.Next(h.table, list, stamp)
+		stamp = endpoints.Stamp{Epoch: h.duty.Epoch + 5, By: h.acc.ID, Seq: 1}
+		list := []endpoints.Searcher{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
+		table, _ := endpoints.Next(h.table, list, stamp)
 		h.setTable(table)
 	})
 	n := w.nodes["3"]
@@ -247,7 +247,7 @@
 			t.Errorf("hut %d: version %d, voters %v", k, s.Version, s.Voters)
 		}
 		var kept int
-		var at hutbook.Stamp
+		var at endpoints.Stamp
 		w.hut(k).desk.ask(func() { kept, at = w.hut(k).frontsKept, w.hut(k).table.Stamp })
 		if kept < 7 {
 			t.Errorf("hut %d: %d fronts", k, kept)
@@ -258,7 +258,7 @@
 	}
 	w.eventually("the outcome is read back", func() bool {
 		st, body := w.control(4, "GET", "", "")
-		return st == 200 && body == config(9, "s1")
+		return st == 200 && body == configBody(9, "s1")
 	})
 	n.hut.desk.close()
 }
@@ -295,7 +295,7 @@
 	}
 	w.eventually("it is read back", func() bool {
 		st, body := w.control(1, "GET", "", "")
-		return st == 200 && body == config(3, "s1")
+		return st == 200 && body == configBody(3, "s1")
 	})
 }
 
@@ -317,7 +317,7 @@
 	w.stop("1")
 	w.eventually("two of three read", func() bool {
 		st, body := w.control(5, "GET", "", "")
-		return st == 200 && body == config(3, "s1")
+		return st == 200 && body == configBody(3, "s1")
 	})
 }
 
@@ -384,8 +384,8 @@
 	w := core(t, 1, 1, 2, 3)
 	w.at(3, 1, 2, 3)
 	h := w.hut(2)
-	body := config(9, "s1")
-	m := cairnAsk{Ask: cairn.Ask{Slot: h.state().Slot + 1, Ballot: cairn.Ballot{N: 1 << 20, By: "gone"}, Value: &cairn.Value{Version: 9, Base: 3, Body: body}}}
+	body := configBody(9, "s1")
+	m := cairnAsk{Ask: consensus.Ask{Slot: h.state().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body}}}
 	if say, err := h.vote(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
@@ -400,8 +400,8 @@
 func TestLeavingDecidesWhatItAccepted(t *testing.T) {
 	w := core(t, 1, 1, 2, 3)
 	w.at(3, 1, 2, 3)
-	h, n, body := w.hut(3), w.nodes["3"], config(9, "s1")
-	m := cairnAsk{Ask: cairn.Ask{Slot: h.state().Slot + 1, Ballot: cairn.Ballot{N: 1 << 20, By: "gone"}, Value: &cairn.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
+	h, n, body := w.hut(3), w.nodes["3"], configBody(9, "s1")
+	m := cairnAsk{Ask: consensus.Ask{Slot: h.state().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
 	if say, err := h.vote(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -1,12 +1,12 @@
 package lodge
 
 import (
-	"swiftswitch/internal/belay"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/warden"
-	"swiftswitch/internal/waymark"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/lease"
+	"swiftswitch/internal/peersampling"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/rollout"
 )
 
 // Paths of the calls between nodes.
@@ -42,7 +42,7 @@
 // receiver may have accepted itself, or with what it lacks.
 type learnAsk struct {
 	Slot   int64
-	Ballot cairn.Ballot
+	Ballot consensus.Ballot
 	News   *news `json:",omitempty"`
 }
 
@@ -90,7 +90,7 @@
 	Kept    int64
 	Epoch   int64
 	Holder  string
-	Stamp   hutbook.Stamp
+	Stamp   endpoints.Stamp
 	Zone    string
 	Leaving bool `json:",omitempty"`
 	// Unfit: the node hears no majority, or was granted nothing; it can't have a duty.
@@ -117,19 +117,19 @@
 
 // bidAsk asks a voter for a duty's lease, or gives it back.
 type bidAsk struct {
-	Bid     warden.Bid
+	Bid     lease.Bid
 	Release bool `json:",omitempty"`
 }
 
 // bidSay is the voter's answer, and the newest table that it holds.
 type bidSay struct {
-	Grant warden.Grant
-	Stamp hutbook.Stamp
+	Grant lease.Grant
+	Stamp endpoints.Stamp
 }
 
 // fetchAsk asks for what changed in the table since the one held.
 type fetchAsk struct {
-	Stamp hutbook.Stamp
+	Stamp endpoints.Stamp
 }
 
 type fetchSay struct {
@@ -139,7 +139,7 @@
 // roll lists the fronts that watch a hut before others.
 type roll struct {
 	Roll   int64
-	Fronts []saddle.Front `json:",omitempty"`
+	Fronts []relay.Front `json:",omitempty"`
 }
 
 // hutAt is a hut and its place.
@@ -167,14 +167,14 @@
 }
 
 type tableSay struct {
-	Stamp hutbook.Stamp
+	Stamp endpoints.Stamp
 }
 
 type watchAsk struct {
 	Name  string
 	IP    string
 	Slot  int64
-	Stamp hutbook.Stamp
+	Stamp endpoints.Stamp
 	// Zone and Ready: other fronts may ask this one to gather for them.
 	Zone  string `json:",omitempty"`
 	Ready bool   `json:",omitempty"`
@@ -207,7 +207,7 @@
 	Lone    bool `json:",omitempty"`
 	Slot    int64
 	Version int64
-	Stamp   hutbook.Stamp
+	Stamp   endpoints.Stamp
 	// Delta is what changed in the table since the one held, packed.
 	Delta []byte `json:",omitempty"`
 	// Fronts is how many fronts there are, Around in the asker's region, Here in its zone.
@@ -216,20 +216,20 @@
 	Here   int `json:",omitempty"`
 	Huts   []hutAt
 	// Roster lists some fronts of each zone that are ready.
-	Roster []saddle.Front `json:",omitempty"`
+	Roster []relay.Front `json:",omitempty"`
 	// Dark are searchers that several fronts get no answer from, by their
 	// entries; Heard numbers what was told.
 	Dark  []int64 `json:",omitempty"`
 	Heard int64   `json:",omitempty"`
 	// Purge is the last purge's number, Floor the last that nobody holds any
 	// more; Purges are those that the asker lacks.
-	Purge   int64          `json:",omitempty"`
-	Floor   int64          `json:",omitempty"`
-	Purges  []cairn.Purge  `json:",omitempty"`
-	Larders []cairn.Larder `json:",omitempty"`
+	Purge   int64              `json:",omitempty"`
+	Floor   int64              `json:",omitempty"`
+	Purges  []consensus.Purge  `json:",omitempty"`
+	Larders []consensus.Larder `json:",omitempty"`
 	// Rollouts are the orders that changed since the slot that the asker knows
 	// them up to, RolledTo the slot that it knows them up to then.
-	Rollouts []cairn.Rollout `json:",omitempty"`
+	Rollouts []consensus.Rollout `json:",omitempty"`
 	RolledTo int64
 }
 
@@ -238,7 +238,7 @@
 	Name    string
 	Life    int64
 	Seq     int64
-	Entries []belay.Entry
+	Entries []rollout.Entry
 }
 
 // ledger is all that a hut was told of versions under way, for the one with
@@ -248,12 +248,12 @@
 	ID      string
 	Life    int64
 	Seq     int64
-	Entries []belay.Entry
+	Entries []rollout.Entry
 	Behind  map[int64]int `json:",omitempty"`
 }
 
 type shuffle struct {
-	Nodes []waymark.Node
+	Nodes []peersampling.Node
 }
 
 // instancePage is a page of the platform's list.
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -11,26 +11,26 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/waymark"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/peersampling"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/transport"
 )
 
 // Node is what every machine runs; hut and trail are added by role.
 type Node struct {
-	settings atomic.Pointer[signpost.Settings]
+	settings atomic.Pointer[config.Settings]
 	path     string
 	born     time.Time
-	call     *rope.Client
+	call     *transport.Client
 	options  Options
 	stop     chan struct{}
 	leaving  atomic.Bool
 	sockets  []net.Listener
 
 	view *desk
-	way  *waymark.View
+	way  *peersampling.View
 	// Owned by the view's desk as well.
 	vigil   vigil
 	unheard unheard
@@ -41,26 +41,26 @@
 	kitchen *kitchen
 }
 
-func (n *Node) set() *signpost.Settings { return n.settings.Load() }
+func (n *Node) set() *config.Settings { return n.settings.Load() }
 
 // steady is the node's steady clock.
 func (n *Node) steady() time.Duration { return time.Since(n.born) }
 
-func (n *Node) userTimeout() time.Duration { return signpost.Ms(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) userTimeout() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
 
 // longHold is how long a call for news may be held at most: one that was lost
 // ends before a machine counts as in touch again.
-func (n *Node) longHold() time.Duration { return signpost.Ms(n.set().Bounds.InTouchMs, 0.75) }
+func (n *Node) longHold() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.75) }
 
 func (n *Node) heartbeat(ratio float64) time.Duration {
-	return signpost.Ms(n.set().HeartbeatIntervalMs, ratio)
+	return config.Ms(n.set().HeartbeatIntervalMs, ratio)
 }
 
 // Run is the life of a node; it returns the process's exit code.
 func Run(path, dir string, options Options) int {
-	s, err := signpost.LoadSettings(path)
+	s, err := config.LoadSettings(path)
 	if err != nil {
-		logbook.Log(logbook.SettingsBad, "err", err)
+		events.Log(events.SettingsBad, "err", err)
 		return 2
 	}
 	if dir != "" {
@@ -69,26 +69,26 @@
 	tune(s)
 	n, err := open(s, path, options)
 	if err != nil {
-		logbook.Log(logbook.SettingsBad, "err", err)
+		events.Log(events.SettingsBad, "err", err)
 		return 3
 	}
 	if n.begin() {
-		logbook.Log(logbook.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "hut", n.hut != nil, "trail", n.trail != nil)
+		events.Log(events.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "hut", n.hut != nil, "trail", n.trail != nil)
 	}
 	n.signals()
-	logbook.Log(logbook.Stopped)
+	events.Log(events.Stopped)
 	return 0
 }
 
 // open makes a node of its settings.
-func open(s *signpost.Settings, path string, options Options) (*Node, error) {
+func open(s *config.Settings, path string, options Options) (*Node, error) {
 	n := &Node{path: path, born: time.Now(), stop: make(chan struct{}), options: options}
 	n.settings.Store(s)
-	n.call = rope.NewClient(16, signpost.Ms(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
+	n.call = transport.NewClient(16, config.Ms(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
 	n.view = newDesk()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
-	n.way = waymark.New(waymark.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleLarder}, 8, 3)
+	n.way = peersampling.New(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleLarder}, 8, 3)
 	var err error
 	keeps := options.Role == RoleLarder
 	if s.HasDisk() && !keeps {
@@ -138,9 +138,9 @@
 	return int(mb * (1 << 20) / 32)
 }
 
-func (n *Node) listener(idle time.Duration) rope.Listener {
-	return rope.Listener{
-		MaxHeader: 64 << 10, MaxBody: n.maxMessage(), ReadWithin: signpost.Ms(n.set().Bounds.InTouchMs, 2),
+func (n *Node) listener(idle time.Duration) transport.Listener {
+	return transport.Listener{
+		MaxHeader: 64 << 10, MaxBody: n.maxMessage(), ReadWithin: config.Ms(n.set().Bounds.InTouchMs, 2),
 		IdleFor: idle, UserTimeout: n.userTimeout(),
 	}
 }
@@ -153,7 +153,7 @@
 		addrs = append(addrs, s.ListenAddresses.ControlAddress)
 	}
 	for i, a := range addrs {
-		ln, ok := rope.Listen(a, n.userTimeout(), n.heartbeat(0.1), n.stop)
+		ln, ok := transport.Listen(a, n.userTimeout(), n.heartbeat(0.1), n.stop)
 		if !ok {
 			return false
 		}
@@ -161,7 +161,7 @@
 		if i > 0 {
 			handle = n.handleControl
 		}
-		rope.Serve(ln, n.listener(signpost.Ms(s.Bounds.InTouchMs, 2)), handle)
+		transport.Serve(ln, n.listener(config.Ms(s.Bounds.InTouchMs, 2)), handle)
 		n.sockets = append(n.sockets, ln)
 	}
 	return true
@@ -173,25 +173,25 @@
 	case pathShuffle:
 		n.handleShuffle(c)
 	case pathSaddle:
-		var m saddle.Ask
-		if !rope.Read(c, &m) {
+		var m relay.Ask
+		if !transport.Read(c, &m) {
 			return
 		}
 		if n.trail == nil {
-			rope.Answer(c, 404, map[string]string{"Error": "no front"})
+			transport.Answer(c, 404, map[string]string{"Error": "no front"})
 		} else if say, ok := n.trail.head.Lend(m); ok {
-			rope.Answer(c, 200, say)
+			transport.Answer(c, 200, say)
 		} else {
-			rope.Answer(c, 409, map[string]string{"Error": "another version is in force here"})
+			transport.Answer(c, 409, map[string]string{"Error": "another version is in force here"})
 		}
 	case pathLarder:
 		if n.kitchen == nil {
-			rope.Answer(c, 404, map[string]string{"Error": "no larder"})
+			transport.Answer(c, 404, map[string]string{"Error": "no larder"})
 			return
 		}
 		n.kitchen.handle(c)
 	case pathStatus:
-		rope.Answer(c, 200, n.Status())
+		transport.Answer(c, 200, n.Status())
 	case pathConfig, pathPurge:
 		n.handleControl(ctx, c)
 	default:
@@ -200,7 +200,7 @@
 			return
 		}
 		if n.hut == nil || !n.hut.handle(c) {
-			rope.Answer(c, 404, map[string]string{"Error": "no such call"})
+			transport.Answer(c, 404, map[string]string{"Error": "no such call"})
 		}
 	}
 }
@@ -214,20 +214,20 @@
 		defer n.hut.orders.Add(-1)
 		if n.hut.closing.Load() {
 			c.Response.Header.Set("Retry-After", "0.2")
-			rope.Answer(c, 503, map[string]string{"Error": "this node leaves"})
+			transport.Answer(c, 503, map[string]string{"Error": "this node leaves"})
 			return
 		}
 	}
 	until := n.until(c)
 	switch {
 	case path != pathConfig && path != pathPurge && !rollout:
-		rope.Answer(c, 404, map[string]string{"Error": "no such call"})
+		transport.Answer(c, 404, map[string]string{"Error": "no such call"})
 	case path == pathConfig && m != "GET" && m != "PUT" && m != "PATCH":
-		rope.Answer(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
+		transport.Answer(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
 	case path == pathPurge && m != "POST":
-		rope.Answer(c, 405, map[string]string{"Error": "POST only"})
+		transport.Answer(c, 405, map[string]string{"Error": "POST only"})
 	case rollout && m != "GET" && !(m == "POST" && path == pathRollout):
-		rope.Answer(c, 405, map[string]string{"Error": "POST " + pathRollout + " and GET only"})
+		transport.Answer(c, 405, map[string]string{"Error": "POST " + pathRollout + " and GET only"})
 	case m == "POST" && n.doubtful():
 		// A change of the configuration is known as late by its base, an order isn't.
 		n.unsettled(c, "this node stood still, and the order may be an old one")
@@ -265,12 +265,12 @@
 
 func (n *Node) handleShuffle(c *app.RequestContext) {
 	var m shuffle
-	if !rope.Read(c, &m) {
+	if !transport.Read(c, &m) {
 		return
 	}
-	var give []waymark.Node
+	var give []peersampling.Node
 	n.view.ask(func() { give = n.way.Answer(m.Nodes) })
-	rope.Answer(c, 200, shuffle{give})
+	transport.Answer(c, 200, shuffle{give})
 }
 
 // shuffleLoop exchanges parts of the view with neighbours.
@@ -281,13 +281,13 @@
 			return
 		case <-time.After(time.Duration(float64(n.heartbeat(12)) * (0.75 + rand.Float64()/2))):
 		}
-		var partner waymark.Node
-		var offer []waymark.Node
+		var partner peersampling.Node
+		var offer []peersampling.Node
 		ok := false
 		n.view.ask(func() {
 			for _, ip := range n.set().SeedIPs() {
 				if ip != n.set().IpAddress && len(n.way.Nodes()) == 0 {
-					n.way.Add(waymark.Node{Name: "seed-" + ip, IP: ip, Hut: true})
+					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
 				}
 			}
 			partner, offer, ok = n.way.Start()
@@ -302,13 +302,13 @@
 	}
 }
 
-// Status is what `refuge status` shows.
+// Status is what `swiftswitch status` shows.
 type Status struct {
 	Node    string
 	Zone    string
 	UpMs    int64
 	Leaving bool
-	View    []waymark.Node
+	View    []peersampling.Node
 	Hut     *HutStatus   `json:",omitempty"`
 	Trail   *TrailStatus `json:",omitempty"`
 }
@@ -326,9 +326,9 @@
 	return st
 }
 
-// FetchStatus asks a node for its status; `refuge status` uses it.
+// FetchStatus asks a node for its status; `swiftswitch status` uses it.
 func FetchStatus(addr string, within time.Duration) ([]byte, error) {
-	cl := rope.NewClient(1, within, within, 8<<20)
+	cl := transport.NewClient(1, within, within, 8<<20)
 	rep, err := cl.Call(addr, "GET", pathStatus, nil, nil, within)
 	if err != nil {
 		return nil, err
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/transport"
 )
 
 // The operator's calls for the configuration.
@@ -20,29 +20,29 @@
 // readFor reads the newest state within the caller's patience and gives it to
 // answer, which only prepares the answer; should the node have stood still
 // meanwhile, it reads anew.
-func (h *hut) readFor(c *app.RequestContext, until time.Time, answer func(cairn.State)) {
+func (h *hut) readFor(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
 	ack := h.n.set().Bounds.AcknowledgeMs
 	for time.Now().Before(until) {
-		s, ok := h.read(min(signpost.Ms(ack, 0.6), time.Until(until)))
+		s, ok := h.read(min(config.Ms(ack, 0.6), time.Until(until)))
 		if !ok {
 			break
 		}
 		at := time.Now()
-		if answer(s); time.Since(at) < signpost.Ms(ack, readStale) {
+		if answer(s); time.Since(at) < config.Ms(ack, readStale) {
 			return
 		}
 		c.Response.Reset()
 	}
-	logbook.Log(logbook.ReadUnsettled)
+	events.Log(events.ReadUnsettled)
 	h.n.unsettled(c, "no majority can be reached")
 }
 
 // handleConfig takes the operator's calls.
 func (h *hut) handleConfig(c *app.RequestContext, until time.Time) {
 	if string(c.Request.Header.Method()) == "GET" {
-		h.readFor(c, until, func(s cairn.State) {
+		h.readFor(c, until, func(s consensus.State) {
 			if s.Version == 0 {
-				rope.Answer(c, 404, map[string]string{"Error": "there is no configuration yet"})
+				transport.Answer(c, 404, map[string]string{"Error": "there is no configuration yet"})
 				return
 			}
 			c.SetStatusCode(200)
@@ -57,15 +57,15 @@
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
 	if len(c.Request.Header.Peek(headerPassed)) == 0 {
-		settleBy = time.Now().Add(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.8))
+		settleBy = time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.8))
 	}
 	status, text := h.take(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
 	if status == 200 {
-		h.held(h.state().Slot, min(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
-		rope.Answer(c, 200, map[string]int64{"Version": text.version})
+		h.held(h.state().Slot, min(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
+		transport.Answer(c, 200, map[string]int64{"Version": text.version})
 		return
 	}
-	logbook.Log(logbook.ConfigRefused, "status", status, "why", text.why)
+	events.Log(events.ConfigRefused, "status", status, "why", text.why)
 	switch status {
 	case 503:
 		h.n.unsettled(c, text.why)
@@ -73,7 +73,7 @@
 	case 412:
 		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
 	}
-	rope.Answer(c, status, map[string]string{"Error": text.why})
+	transport.Answer(c, status, map[string]string{"Error": text.why})
 }
 
 // taken is how a change ended: version is its own, or the current one where it lost.
@@ -91,16 +91,16 @@
 // on top of the one it builds on.
 func (h *hut) take(isPatch bool, body, match string, until time.Time) (int, taken) {
 	var version int64
-	var patch *signpost.Patch
-	sum := cairn.Sum(body)
+	var patch *config.Patch
+	sum := consensus.Sum(body)
 	if isPatch {
-		p, err := signpost.ParsePatch([]byte(body))
+		p, err := config.ParsePatch([]byte(body))
 		if err != nil {
 			return 400, taken{why: err.Error()}
 		}
-		version, patch, sum = p.Version, p, cairn.Sum("PATCH\n"+body)
+		version, patch, sum = p.Version, p, consensus.Sum("PATCH\n"+body)
 	} else {
-		conf, err := signpost.ParseConfiguration([]byte(body))
+		conf, err := config.ParseConfiguration([]byte(body))
 		if err != nil {
 			return 400, taken{why: err.Error()}
 		}
@@ -113,7 +113,7 @@
 	if version <= base {
 		return 400, taken{why: "Version is not above the one it builds on"}
 	}
-	status, end := h.settle(&cairn.Value{Version: version, Base: base, Body: body, Sent: sum}, patch, until)
+	status, end := h.settle(&consensus.Value{Version: version, Base: base, Body: body, Sent: sum}, patch, until)
 	if status != 200 {
 		return status, end
 	}
@@ -125,7 +125,7 @@
 }
 
 // settle has a configuration decided, merged from a patch where there is one.
-func (h *hut) settle(own *cairn.Value, patch *signpost.Patch, until time.Time) (int, taken) {
+func (h *hut) settle(own *consensus.Value, patch *config.Patch, until time.Time) (int, taken) {
 	h.proposing.Lock()
 	defer h.proposing.Unlock()
 	merged := patch == nil
@@ -156,7 +156,7 @@
 			// A version has one body, so it is merged once.
 			whole, err := patch.Apply([]byte(s.Body))
 			if err == nil {
-				_, err = signpost.ParseConfiguration(whole)
+				_, err = config.ParseConfiguration(whole)
 			}
 			if err != nil {
 				return 400, taken{why: err.Error()}
@@ -170,6 +170,6 @@
 }
 
 // readLocked is a read in the middle of settling an order, no longer than that may take.
-func (h *hut) readLocked(until time.Time) (cairn.State, bool) {
-	return h.read(min(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
+func (h *hut) readLocked(until time.Time) (consensus.State, bool) {
+	return h.read(min(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
 }
--- a/internal/lodge/pack.go
+++ b/internal/lodge/pack.go
@@ -8,7 +8,7 @@
 	"math/bits"
 
 	"github.com/klauspost/compress/zstd"
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/endpoints"
 )
 
 // pack makes the packed form of what goes to many nodes alike.
@@ -76,11 +76,11 @@
 }
 
 // unpackDelta reads a change of the table.
-func unpackDelta(packed []byte, most int) (*hutbook.Delta, error) {
+func unpackDelta(packed []byte, most int) (*endpoints.Delta, error) {
 	raw, err := unpack(packed, most)
 	if err != nil {
 		return nil, err
 	}
-	d := &hutbook.Delta{}
+	d := &endpoints.Delta{}
 	return d, json.Unmarshal(raw, d)
 }
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 func TestPatienceIsARatioOfTheBound(t *testing.T) {
@@ -78,7 +78,7 @@
 func TestPurgesOfOneBatchAreDistinct(t *testing.T) {
 	now := time.Now()
 	wait := func(id, host, path, tag string, in time.Duration) *purgeWait {
-		return &purgeWait{purge: cairn.Purge{ID: id, Host: host, Path: path, Tag: tag}, until: now.Add(in)}
+		return &purgeWait{purge: consensus.Purge{ID: id, Host: host, Path: path, Tag: tag}, until: now.Add(in)}
 	}
 	a, b, again, other := wait("1", "h", "/x", "", 50), wait("2", "", "", "t", 90), wait("3", "h", "/x", "", 70), wait("4", "h", "/y", "", 20)
 	gone := wait("5", "h", "/z", "", -1)
@@ -200,7 +200,7 @@
 	w := newTown(t)
 	node := w.run(1, true, 1)
 	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(1, "PUT", "0", config(3, "s1"))
+		status, _ := w.control(1, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
 	return w, node.hut
@@ -225,7 +225,7 @@
 	// A change bears its lateness, and later orders are taken.
 	w.eventually("orders are taken again", func() bool { status, _ := w.sendOrder(1, pathRollout, anOrder, nil); return status == 200 })
 	go h.n.view.ask(func() { time.Sleep(2 * gap) })
-	if status, body := w.control(1, "PUT", "3", config(5, "s1")); status != 200 {
+	if status, body := w.control(1, "PUT", "3", configBody(5, "s1")); status != 200 {
 		t.Errorf("a change after a freeze: %d %s", status, body)
 	}
 }
@@ -255,7 +255,7 @@
 	}
 	h.proposing.Lock()
 	go func() {
-		status, _ := h.take(false, config(5, "s1"), "3", time.Now().Add(50*time.Millisecond))
+		status, _ := h.take(false, configBody(5, "s1"), "3", time.Now().Add(50*time.Millisecond))
 		got <- status
 	}()
 	time.Sleep(150 * time.Millisecond)
@@ -269,7 +269,7 @@
 }
 
 // settleOrder ends the plain service's order in the log.
-func (h *hut) settleOrder(t *testing.T, phase cairn.Phase) {
+func (h *hut) settleOrder(t *testing.T, phase consensus.Phase) {
 	t.Helper()
 	h.proposing.Lock()
 	defer h.proposing.Unlock()
@@ -279,7 +279,7 @@
 		if r.Phase == phase {
 			return
 		}
-		h.round(s, &cairn.Value{Rollout: &cairn.Rollout{N: r.N, Service: "plain", Phase: phase}})
+		h.round(s, &consensus.Value{Rollout: &consensus.Rollout{N: r.N, Service: "plain", Phase: phase}})
 	}
 	t.Fatalf("the order did not become %s", phase)
 }
@@ -291,7 +291,7 @@
 		status, _ := w.sendOrder(1, pathRollout, strings.Replace(anOrder, "v2", target, 1), nil)
 		return status
 	}
-	last := func(want string, phase cairn.Phase) {
+	last := func(want string, phase consensus.Phase) {
 		t.Helper()
 		if r, _ := h.state().Rollout("plain"); r.Target != want || r.Phase != phase {
 			t.Fatalf("the last order is %+v, want %s %s", r, want, phase)
@@ -300,11 +300,11 @@
 	if status := order("v2"); status != 200 {
 		t.Fatalf("%d", status)
 	}
-	h.settleOrder(t, cairn.RolledBack)
+	h.settleOrder(t, consensus.RolledBack)
 	if status := order("v2"); status != 200 {
 		t.Fatalf("the same order again: %d", status)
 	}
-	last("v2", cairn.RolledBack)
+	last("v2", consensus.RolledBack)
 	if status := order("v3"); status != 200 {
 		t.Fatalf("the next order: %d", status)
 	}
@@ -315,12 +315,12 @@
 	if status := order("v4"); status != 409 {
 		t.Errorf("another order beside a running one: %d", status)
 	}
-	last("v3", cairn.Canary)
-	h.settleOrder(t, cairn.Completed)
+	last("v3", consensus.Canary)
+	h.settleOrder(t, consensus.Completed)
 	if status := order("v2"); status != 200 {
 		t.Errorf("a late copy: %d", status)
 	}
-	last("v3", cairn.Completed)
+	last("v3", consensus.Completed)
 	// Long after, it is a new order.
 	h.desk.ask(func() {
 		for slot := range h.course.ordered {
@@ -330,7 +330,7 @@
 	if status := order("v2"); status != 200 {
 		t.Errorf("the order anew: %d", status)
 	}
-	last("v2", cairn.Canary)
+	last("v2", consensus.Canary)
 }
 
 // A node that is behind asks a majority before it refuses an order.
@@ -340,14 +340,14 @@
 		w.run(n, true, 1, 2, 3)
 	}
 	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", config(3, "s1"))
+		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
 	one, two := w.nodes["1"].hut, w.nodes["2"].hut
 	w.eventually("the first order", func() bool { status, _ := w.sendOrder(1, pathRollout, anOrder, nil); return status == 200 })
 	w.eventually("both know it", func() bool { _, ok := two.state().Rollout("plain"); return ok })
 	old := two.state()
-	one.settleOrder(t, cairn.RolledBack)
+	one.settleOrder(t, consensus.RolledBack)
 	w.eventually("the end is known", func() bool { r, _ := two.state().Rollout("plain"); return !r.Running() })
 	two.desk.ask(func() { two.acc.State = old })
 	if status, _ := w.sendOrder(2, pathRollout, strings.Replace(anOrder, "v2", "v3", 1), nil); status != 200 {
@@ -362,7 +362,7 @@
 func TestLostChangeNamesTheCurrentVersion(t *testing.T) {
 	w, h := alone(t)
 	for match, want := range map[string]string{"2": "3", "9": "3"} {
-		req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090%s", w.ip(1), pathConfig), strings.NewReader(config(11, "s1")))
+		req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090%s", w.ip(1), pathConfig), strings.NewReader(configBody(11, "s1")))
 		req.Header.Set("If-Match", match)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -7,9 +7,9 @@
 	"net/url"
 	"time"
 
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/events"
 )
 
 // pollLoop reads the platform's list while this node has the duty.
@@ -26,9 +26,9 @@
 		wait := h.n.heartbeat(0.2)
 		if holds {
 			// While fronts miss searchers, new ones are looked for more often.
-			wait = signpost.Ms(h.n.set().Bounds.DrainMs, 0.25)
+			wait = config.Ms(h.n.set().Bounds.DrainMs, 0.25)
 			if silence {
-				wait = signpost.Ms(h.n.set().Bounds.DrainMs, 0.08)
+				wait = config.Ms(h.n.set().Bounds.DrainMs, 0.08)
 			}
 			if h.caughtUp(epoch) {
 				h.poll(epoch)
@@ -50,7 +50,7 @@
 // epoch: what is reported under it must rest on that. A voter that is gone
 // since is not waited for.
 func (h *hut) caughtUp(epoch int64) bool {
-	var from, held hutbook.Stamp
+	var from, held endpoints.Stamp
 	ip, id := "", ""
 	h.desk.ask(func() {
 		if h.table != nil {
@@ -68,12 +68,12 @@
 	}
 	var say fetchSay
 	err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathFetch, fetchAsk{held}, &say, h.n.heartbeat(0.8))
-	var d *hutbook.Delta
+	var d *endpoints.Delta
 	if err == nil {
 		d, err = unpackDelta(say.Delta, h.n.maxMessage())
 	}
 	if err != nil {
-		logbook.Log(logbook.TableMissed, "voter", id, "err", err)
+		events.Log(events.TableMissed, "voter", id, "err", err)
 		return false
 	}
 	now := held
@@ -86,24 +86,24 @@
 func (h *hut) poll(epoch int64) {
 	list, err := h.list()
 	if err != nil {
-		logbook.Log(logbook.ListFailed, "err", err)
+		events.Log(events.ListFailed, "err", err)
 		return
 	}
 	h.desk.ask(func() {
 		if now, ok := h.duty.Token(h.n.steady()); !ok || now != epoch {
-			logbook.Log(logbook.ListLate, "epoch", epoch)
+			events.Log(events.ListLate, "epoch", epoch)
 			return
 		}
-		stamp := hutbook.Stamp{Epoch: epoch, By: h.duty.Self, Seq: 1}
+		stamp := endpoints.Stamp{Epoch: epoch, By: h.duty.Self, Seq: 1}
 		if h.table != nil && h.table.Stamp.Epoch == stamp.Epoch && h.table.Stamp.By == stamp.By {
 			stamp.Seq = h.table.Stamp.Seq + 1
 		}
-		t, changed := hutbook.Next(h.table, list, stamp)
+		t, changed := endpoints.Next(h.table, list, stamp)
 		if !changed {
 			return
 		}
-		logbook.Log(logbook.ListChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
-		var held hutbook.Stamp
+		events.Log(events.ListChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
+		var held endpoints.Stamp
 		if h.table != nil {
 			held = h.table.Stamp
 		}
@@ -115,25 +115,25 @@
 }
 
 // merge takes a table of another hut; it runs on the desk.
-func (h *hut) merge(t *hutbook.Table) {
+func (h *hut) merge(t *endpoints.Table) {
 	if t.Stamp.Epoch < h.duty.Epoch && h.table != nil {
 		if t.Stamp.Less(h.table.Stamp) {
-			logbook.Log(logbook.TableOld, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
+			events.Log(events.TableOld, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
 			return
 		}
 	}
 	h.duty.See(t.Stamp.Epoch, t.Stamp.By)
-	if m := hutbook.Merge(h.table, t); m != h.table {
+	if m := endpoints.Merge(h.table, t); m != h.table {
 		h.setTable(m)
 	}
 }
 
 // list reads all pages of the platform's list.
-func (h *hut) list() ([]hutbook.Searcher, error) {
-	var out []hutbook.Searcher
+func (h *hut) list() ([]endpoints.Searcher, error) {
+	var out []endpoints.Searcher
 	token := ""
 	seen := map[string]bool{}
-	within := signpost.Ms(h.n.set().Bounds.DrainMs, 0.25)
+	within := config.Ms(h.n.set().Bounds.DrainMs, 0.25)
 	for page := 0; page < 1000; page++ {
 		path := "/instances"
 		if token != "" {
@@ -155,7 +155,7 @@
 				continue
 			}
 			seen[i.InstanceID] = true
-			out = append(out, hutbook.Searcher{
+			out = append(out, endpoints.Searcher{
 				ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Version: i.Version, Slots: i.Slots,
 				Drains: i.State != "ready", Cold: i.ColdRemainingMs > 0,
 			})
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/transport"
 )
 
 // purgeMost bounds how many purges one slot decides, purgeSize an order in bytes.
@@ -17,7 +17,7 @@
 )
 
 type purgeWait struct {
-	purge cairn.Purge
+	purge consensus.Purge
 	// until is when its caller goes on.
 	until time.Time
 	done  chan bool
@@ -27,9 +27,9 @@
 func (n *Node) purgeMs(ratio float64) time.Duration {
 	b := n.set().Bounds
 	if b.PurgeMs > 0 {
-		return signpost.Ms(b.PurgeMs, ratio)
+		return config.Ms(b.PurgeMs, ratio)
 	}
-	return signpost.Ms(b.ConfigEffectMs, ratio)
+	return config.Ms(b.ConfigEffectMs, ratio)
 }
 
 // handlePurge takes the operator's purge: agreed by a majority, then
@@ -38,15 +38,15 @@
 // dropped and fetched once more, and nothing older comes of it.
 func (h *hut) handlePurge(c *app.RequestContext, until time.Time) {
 	if len(c.Request.Body()) > purgeSize {
-		rope.Answer(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
-	o, err := signpost.ParsePurge(c.Request.Body())
+	o, err := config.ParsePurge(c.Request.Body())
 	if err != nil {
-		rope.Answer(c, 400, map[string]string{"Error": err.Error()})
+		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	w := &purgeWait{purge: cairn.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
+	w := &purgeWait{purge: consensus.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
 	select {
 	case h.purges <- w:
 	default:
@@ -57,12 +57,12 @@
 	case ok := <-w.done:
 		if ok && h.grown(until) {
 			h.held(h.state().Slot, min(h.n.purgeMs(0.25), time.Until(until)/2))
-			rope.Answer(c, 200, map[string]string{"Purged": w.purge.ID})
+			transport.Answer(c, 200, map[string]string{"Purged": w.purge.ID})
 			return
 		}
 	case <-h.n.stop:
 	}
-	logbook.Log(logbook.PurgeUnsettled, "host", o.HostName, "path", o.Path, "tag", o.Tag)
+	events.Log(events.PurgeUnsettled, "host", o.HostName, "path", o.Path, "tag", o.Tag)
 	h.n.unsettled(c, "no majority agreed in time")
 }
 
@@ -94,9 +94,9 @@
 
 // distinct gives the purges of those that wait whose callers have not gone on
 // yet, each content once, and for which of them they are.
-func distinct(batch []*purgeWait, now time.Time) (purges []cairn.Purge, of map[*purgeWait]bool, until time.Time) {
+func distinct(batch []*purgeWait, now time.Time) (purges []consensus.Purge, of map[*purgeWait]bool, until time.Time) {
 	of = map[*purgeWait]bool{}
-	ids := map[cairn.Purge]string{}
+	ids := map[consensus.Purge]string{}
 	for _, w := range batch {
 		if now.After(w.until) {
 			continue
@@ -129,35 +129,35 @@
 		h.proposing.Yield()
 		s := h.state()
 		if s.HasPurge(purges[0].ID) {
-			logbook.Log(logbook.PurgesChosen, "last", s.PurgeSeq, "count", len(purges))
+			events.Log(events.PurgesChosen, "last", s.PurgeSeq, "count", len(purges))
 			return of
 		}
 		if time.Now().After(until) || h.apart() {
 			return nil
 		}
-		if !h.roundBy(s, &cairn.Value{Purges: purges}, until) {
+		if !h.roundBy(s, &consensus.Value{Purges: purges}, until) {
 			h.pause(try)
 		}
 	}
 }
 
 // handleEnlist makes a node one of the larders, which changes the parts of all of them.
-func (h *hut) handleEnlist(l cairn.Larder) bool {
+func (h *hut) handleEnlist(l consensus.Larder) bool {
 	if l.IP == "" {
 		return false
 	}
-	return h.changeLarders(func(list []cairn.Larder) []cairn.Larder {
+	return h.changeLarders(func(list []consensus.Larder) []consensus.Larder {
 		for _, x := range list {
 			if x.IP == l.IP {
 				return nil
 			}
 		}
-		return append(append([]cairn.Larder(nil), list...), l)
+		return append(append([]consensus.Larder(nil), list...), l)
 	})
 }
 
 // changeLarders proposes another list; nil from change means that it is as wanted.
-func (h *hut) changeLarders(change func([]cairn.Larder) []cairn.Larder) bool {
+func (h *hut) changeLarders(change func([]consensus.Larder) []consensus.Larder) bool {
 	if !h.proposing.LockFirst(h.n.heartbeat(0.3)) {
 		return false
 	}
@@ -171,7 +171,7 @@
 		if list == nil {
 			return true
 		}
-		if !h.round(s, &cairn.Value{Larders: list, NoLarders: len(list) == 0}) {
+		if !h.round(s, &consensus.Value{Larders: list, NoLarders: len(list) == 0}) {
 			h.pause(try)
 		}
 	}
@@ -184,7 +184,7 @@
 	var gone map[string]bool
 	h.desk.ask(func() {
 		now := h.n.steady()
-		long := signpost.Sec(h.n.set().Bounds.CatchUpS, 1)
+		long := config.Sec(h.n.set().Bounds.CatchUpS, 1)
 		for _, l := range h.acc.State.Larders {
 			at := h.keepers[l.IP]
 			for _, f := range h.fronts {
@@ -211,8 +211,8 @@
 	if gone == nil {
 		return
 	}
-	ok := h.changeLarders(func(list []cairn.Larder) []cairn.Larder {
-		left := []cairn.Larder{}
+	ok := h.changeLarders(func(list []consensus.Larder) []consensus.Larder {
+		left := []consensus.Larder{}
 		for _, l := range list {
 			if !gone[l.IP] {
 				left = append(left, l)
@@ -223,5 +223,5 @@
 		}
 		return left
 	})
-	logbook.Log(logbook.LarderStruck, "count", len(gone), "done", ok)
+	events.Log(events.LarderStruck, "count", len(gone), "done", ok)
 }
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/cellar"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/storage"
 )
 
 // The hut's records on disk. What the slots decided is kept in parts, so that
@@ -18,7 +18,7 @@
 // ballotRecord is the acceptor's part that changes with every round. The body
 // of its value stands in Packed, on top of the one in force before the slot.
 type ballotRecord struct {
-	cairn.Ballots
+	consensus.Ballots
 	Packed []byte `json:",omitempty"`
 }
 
@@ -45,11 +45,11 @@
 // than are needed, so that the oldest is never cut while it counts.
 const (
 	takenPage  = 64
-	takenPages = cairn.TakenKept/takenPage + 1
+	takenPages = consensus.TakenKept/takenPage + 1
 )
 
 // load reads all records into the values given; those that are not there stay.
-func load(cel *cellar.Cellar, records map[string]any) error {
+func load(cel *storage.Cellar, records map[string]any) error {
 	for name, v := range records {
 		raw, err := cel.Get(name)
 		if err != nil {
@@ -66,10 +66,10 @@
 }
 
 // loadState reads what was decided, and what this voter said about the open slot.
-func loadState(cel *cellar.Cellar, most int) (s cairn.State, b cairn.Ballots, packed []byte, err error) {
+func loadState(cel *storage.Cellar, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
 	var body bodyRecord
 	var rec ballotRecord
-	pages := make([][]cairn.Taken, takenPages)
+	pages := make([][]consensus.Taken, takenPages)
 	records := map[string]any{recState: &s, recBody: &body, recBallot: &rec}
 	for i := range pages {
 		records[fmt.Sprintf(recTaken, i)] = &pages[i]
@@ -82,8 +82,8 @@
 	}
 	s.Body = body.Body
 	s.Taken = slices.Concat(pages...)
-	slices.SortFunc(s.Taken, func(a, b cairn.Taken) int { return int(a.Slot - b.Slot) })
-	s.Taken = s.Taken[max(0, len(s.Taken)-cairn.TakenKept):]
+	slices.SortFunc(s.Taken, func(a, b consensus.Taken) int { return int(a.Slot - b.Slot) })
+	s.Taken = s.Taken[max(0, len(s.Taken)-consensus.TakenKept):]
 	if v := rec.Value; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
 		if v.Body, err = unpackOn(s.Body, rec.Packed, most); err != nil {
 			return s, b, nil, errors.New("record " + recBallot + " on disk can't be read: " + err.Error())
@@ -94,7 +94,7 @@
 
 // stateRecords gives the records of a state that changed since the one with
 // that version and count of taken changes.
-func stateRecords(s cairn.State, version, takenSeq int64) map[string][]byte {
+func stateRecords(s consensus.State, version, takenSeq int64) map[string][]byte {
 	small := s
 	small.Body, small.Taken = "", nil
 	records := map[string][]byte{recState: encode(recState, small)}
@@ -165,7 +165,7 @@
 	})
 	select {
 	case <-w.done:
-	case <-time.After(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
 	case <-h.n.stop:
 	}
 	h.desk.ask(func() {
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/belay"
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/transport"
 )
 
 // The hut's part of rollouts: orders and their phases are decided in the log;
@@ -19,15 +19,15 @@
 
 // course is a hut's table of rollouts; it belongs to the hut's desk.
 type course struct {
-	clock  *belay.Clock
-	ledger *belay.Ledger
-	judges map[int64]*belay.Judge
+	clock  *rollout.Clock
+	ledger *rollout.Ledger
+	judges map[int64]*rollout.Judge
 	// known is when this life of the node learned an order's present phase.
 	known map[int64]phaseKnown
 	// ordered is when this life of the node learned the slots of orders.
 	ordered map[int64]time.Duration
 	// told is the last tally of each front.
-	told map[string]*belay.Teller
+	told map[string]*rollout.Teller
 	// behind is how many fronts lag behind a phase, as other huts told.
 	behind map[string]behindAt
 	seq    int64
@@ -44,10 +44,10 @@
 	orders map[int64]int
 }
 
-func newCourse(n belay.Noted, now time.Duration) course {
+func newCourse(n rollout.Noted, now time.Duration) course {
 	return course{
-		clock: belay.NewClock(n, time.Now(), now), ledger: belay.NewLedger(), judges: map[int64]*belay.Judge{},
-		known: map[int64]phaseKnown{}, ordered: map[int64]time.Duration{}, told: map[string]*belay.Teller{}, behind: map[string]behindAt{},
+		clock: rollout.NewClock(n, time.Now(), now), ledger: rollout.NewLedger(), judges: map[int64]*rollout.Judge{},
+		known: map[int64]phaseKnown{}, ordered: map[int64]time.Duration{}, told: map[string]*rollout.Teller{}, behind: map[string]behindAt{},
 	}
 }
 
@@ -58,7 +58,7 @@
 
 // runs tells whether an order is not settled; it runs on the desk.
 func (h *hut) runs(order int64) bool {
-	return slices.ContainsFunc(h.acc.State.Rollouts, func(r cairn.Rollout) bool { return r.N == order && r.Running() })
+	return slices.ContainsFunc(h.acc.State.Rollouts, func(r consensus.Rollout) bool { return r.N == order && r.Running() })
 }
 
 // follow takes the orders as they were decided; it runs on the desk.
@@ -84,10 +84,10 @@
 			h.course.clock.Hear(r.N, time.Duration(r.SpentMs)*time.Millisecond, now)
 			h.noteTerms(now)
 		}
-		if r.Phase == cairn.Canary {
-			logbook.Log(logbook.RolloutOrdered, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
+		if r.Phase == consensus.Canary {
+			events.Log(events.RolloutOrdered, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
 		} else {
-			logbook.Log(logbook.RolloutPhase, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
+			events.Log(events.RolloutPhase, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
 		}
 	}
 }
@@ -101,12 +101,12 @@
 // takeTally takes what a front saw; it runs on the desk.
 func (h *hut) takeTally(m tally) {
 	if h.course.told[m.Name] == nil {
-		h.course.told[m.Name] = &belay.Teller{}
+		h.course.told[m.Name] = &rollout.Teller{}
 	}
 	if !h.course.told[m.Name].New(m.Life, m.Seq) {
 		return
 	}
-	m.Entries = slices.DeleteFunc(m.Entries, func(e belay.Entry) bool { return !h.runs(e.Order) })
+	m.Entries = slices.DeleteFunc(m.Entries, func(e rollout.Entry) bool { return !h.runs(e.Order) })
 	h.course.ledger.Add(m.Entries)
 }
 
@@ -117,8 +117,8 @@
 }
 
 // weigh gives what is new to the judges; it runs on the desk.
-func (h *hut) weigh(news []belay.Entry) {
-	byOrder := map[int64][]belay.Entry{}
+func (h *hut) weigh(news []rollout.Entry) {
+	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range news {
 		byOrder[e.Order] = append(byOrder[e.Order], e)
 	}
@@ -129,10 +129,10 @@
 	}
 }
 
-func (h *hut) judge(r cairn.Rollout) *belay.Judge {
+func (h *hut) judge(r consensus.Rollout) *rollout.Judge {
 	j := h.course.judges[r.N]
 	if j == nil {
-		j = belay.NewJudge(h.n.options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.n.steady())
+		j = rollout.NewJudge(h.n.options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.n.steady())
 		h.course.judges[r.N] = j
 	}
 	return j
@@ -164,7 +164,7 @@
 			return
 		case <-time.After(h.n.heartbeat(0.15)):
 		}
-		var steps []cairn.Rollout
+		var steps []consensus.Rollout
 		var send *ledger
 		to := ""
 		h.desk.ask(func() {
@@ -183,9 +183,9 @@
 
 // carry does what is due now: it notes the time, tells the node with the duty
 // what was seen, or, on that node, gives the phases to propose. It runs on the desk.
-func (h *hut) carry() (steps []cairn.Rollout, send *ledger, to string) {
+func (h *hut) carry() (steps []consensus.Rollout, send *ledger, to string) {
 	now, c := h.n.steady(), &h.course
-	running := slices.DeleteFunc(slices.Clone(h.acc.State.Rollouts), func(r cairn.Rollout) bool { return !r.Running() })
+	running := slices.DeleteFunc(slices.Clone(h.acc.State.Rollouts), func(r consensus.Rollout) bool { return !r.Running() })
 	if len(running) == 0 {
 		if len(c.judges)+len(c.told) > 0 {
 			c.ledger.Forget(h.runs)
@@ -213,17 +213,17 @@
 	lag := h.lagging()
 	for _, r := range running {
 		j := h.judge(r)
-		j.Loaded = r.Phase != cairn.Canary
+		j.Loaded = r.Phase != consensus.Canary
 		for _, a := range j.Step(now) {
 			if a.Bad {
-				logbook.Log(logbook.ChartSignal, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
+				events.Log(events.ChartSignal, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
 			} else {
-				logbook.Log(logbook.ChartFalse, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
+				events.Log(events.ChartFalse, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
 			}
 		}
-		f := belay.Facts{
+		f := rollout.Facts{
 			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.known[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
-			Behind: lag[r.N], Report: h.n.heartbeat(0.6), Settle: signpost.Ms(h.n.set().Bounds.ConfigEffectMs, 0.5),
+			Behind: lag[r.N], Report: h.n.heartbeat(0.6), Settle: config.Ms(h.n.set().Bounds.ConfigEffectMs, 0.5),
 		}
 		for _, b := range c.behind {
 			if now-b.at < h.n.heartbeat(1) {
@@ -231,8 +231,8 @@
 			}
 		}
 		f.Ready, f.Old = h.capacity(r)
-		if s := belay.Decide(f, h.n.options.Rollout, h.n.exposure()); s.Phase != "" {
-			steps = append(steps, cairn.Rollout{N: r.N, Service: r.Service, Target: r.Target, Phase: s.Phase, SpentMs: f.Spent.Milliseconds(), ForMs: s.For.Milliseconds(), Asked: j.New, Of: j.New + j.Old, Why: s.Why})
+		if s := rollout.Decide(f, h.n.options.Rollout, h.n.exposure()); s.Phase != "" {
+			steps = append(steps, consensus.Rollout{N: r.N, Service: r.Service, Target: r.Target, Phase: s.Phase, SpentMs: f.Spent.Milliseconds(), ForMs: s.For.Milliseconds(), Asked: j.New, Of: j.New + j.Old, Why: s.Why})
 		}
 	}
 	return steps, nil, ""
@@ -240,7 +240,7 @@
 
 // capacity counts the slots of the new version's warm searchers, and those of
 // the old version's; it runs on the desk.
-func (h *hut) capacity(r cairn.Rollout) (ready, old int) {
+func (h *hut) capacity(r consensus.Rollout) (ready, old int) {
 	if h.table == nil {
 		return 0, 0
 	}
@@ -260,19 +260,19 @@
 
 // decide proposes a phase. Whoever proposes what, the log takes only a later
 // phase of the same order.
-func (h *hut) decide(r cairn.Rollout) {
+func (h *hut) decide(r consensus.Rollout) {
 	if !h.proposing.TryLock() {
 		return
 	}
 	defer h.proposing.Unlock()
-	until := time.Now().Add(signpost.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
+	until := time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.state()
 		now, ok := s.Rollout(r.Service)
 		if !ok || now.N != r.N || !now.Running() || now.Phase == r.Phase || !s.Votes(h.acc.ID) {
 			return
 		}
-		if !h.round(s, &cairn.Value{Rollout: &r}) {
+		if !h.round(s, &consensus.Value{Rollout: &r}) {
 			h.pause(try)
 		}
 	}
@@ -287,7 +287,7 @@
 	State         string
 	TargetVersion string
 	FromVersion   string `json:",omitempty"`
-	Phase         cairn.Phase
+	Phase         consensus.Phase
 	DurationS     float64
 	// LeftS is how much of the term is left, where the order runs.
 	LeftS float64 `json:",omitempty"`
@@ -308,36 +308,36 @@
 		return
 	}
 	if len(c.Request.Body()) > rolloutSize {
-		rope.Answer(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
-	o, err := signpost.ParseRollout(c.Request.Body())
+	o, err := config.ParseRollout(c.Request.Body())
 	if err != nil {
-		logbook.Log(logbook.RolloutRefused, "why", err)
-		rope.Answer(c, 400, map[string]string{"Error": err.Error()})
+		events.Log(events.RolloutRefused, "why", err)
+		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	status, why := h.takeOrder(cairn.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
+	status, why := h.takeOrder(consensus.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
 	if status == 200 && !h.grown(until) {
 		status, why = 503, "too few nodes hold it yet"
 	}
 	if status != 200 {
-		logbook.Log(logbook.RolloutRefused, "service", o.Service, "status", status, "why", why)
+		events.Log(events.RolloutRefused, "service", o.Service, "status", status, "why", why)
 	}
 	switch status {
 	case 200:
-		rope.Answer(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
+		transport.Answer(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
 	case 503:
 		h.n.unsettled(c, why)
 	default:
-		rope.Answer(c, status, map[string]string{"Error": why})
+		transport.Answer(c, status, map[string]string{"Error": why})
 	}
 }
 
 // takeOrder settles an order: acknowledged once a majority has chosen it. Past
 // its caller's patience nothing is proposed, and what was taken earlier starts
 // nothing again. It is refused only for what a majority knows.
-func (h *hut) takeOrder(o cairn.Rollout, until time.Time) (status int, why string) {
+func (h *hut) takeOrder(o consensus.Rollout, until time.Time) (status int, why string) {
 	h.proposing.Lock()
 	defer h.proposing.Unlock()
 	fresh := false
@@ -352,7 +352,7 @@
 		case h.apart():
 			return 503, "no majority can be reached"
 		case h.cameLate(s, o):
-			logbook.Log(logbook.OrderLate, "service", o.Service, "to", o.Target)
+			events.Log(events.OrderLate, "service", o.Service, "to", o.Target)
 			return 200, ""
 		}
 		runs := known && old.Running()
@@ -379,7 +379,7 @@
 		if time.Now().After(until) {
 			continue
 		}
-		if !h.roundBy(s, &cairn.Value{Rollout: &o}, until) {
+		if !h.roundBy(s, &consensus.Value{Rollout: &o}, until) {
 			h.pause(try)
 		}
 	}
@@ -387,42 +387,42 @@
 
 // cameLate tells whether an order is a copy of an earlier one of its service
 // that was decided so lately that it may only now have arrived.
-func (h *hut) cameLate(s cairn.State, o cairn.Rollout) bool {
+func (h *hut) cameLate(s consensus.State, o consensus.Rollout) bool {
 	slot, ok := s.EarlierOrder(o)
 	if !ok {
 		return false
 	}
 	at := time.Duration(0)
 	h.desk.ask(func() { at = h.course.ordered[slot] })
-	return h.n.steady()-at < signpost.Ms(h.n.set().Bounds.AcknowledgeMs, lateOrder)
+	return h.n.steady()-at < config.Ms(h.n.set().Bounds.AcknowledgeMs, lateOrder)
 }
 
 // serves tells whether the configuration in force names a service.
-func serves(s cairn.State, service string) bool {
-	c, err := signpost.TakeConfiguration([]byte(s.Body))
-	return err == nil && slices.ContainsFunc(c.Services, func(x *signpost.Service) bool { return x.Name == service })
+func serves(s consensus.State, service string) bool {
+	c, err := config.TakeConfiguration([]byte(s.Body))
+	return err == nil && slices.ContainsFunc(c.Services, func(x *config.Service) bool { return x.Name == service })
 }
 
 // tellRollouts answers with the last order of a service, or with all.
 func (h *hut) tellRollouts(c *app.RequestContext, service string, until time.Time) {
-	h.readFor(c, until, func(s cairn.State) {
+	h.readFor(c, until, func(s consensus.State) {
 		all := h.rollouts(s)
 		if service == "" {
-			rope.Answer(c, 200, map[string]any{"Rollouts": all})
+			transport.Answer(c, 200, map[string]any{"Rollouts": all})
 			return
 		}
 		for _, r := range all {
 			if r.Service == service {
-				rope.Answer(c, 200, r)
+				transport.Answer(c, 200, r)
 				return
 			}
 		}
-		rope.Answer(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
+		transport.Answer(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
 	})
 }
 
 // rollouts tells how far the orders are, the last changed first.
-func (h *hut) rollouts(s cairn.State) []rolloutSay {
+func (h *hut) rollouts(s consensus.State) []rolloutSay {
 	out := []rolloutSay{}
 	h.desk.ask(func() {
 		for _, r := range slices.Backward(s.Rollouts) {
--- a/internal/lodge/rollout_test.go
+++ b/internal/lodge/rollout_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 // roll sends an order for the plain service and tells its status.
@@ -25,7 +25,7 @@
 
 // hold waits until both fronts hold a phase of the order; a machine under load
 // may take longer to tell them than the huts wait.
-func (w *town) hold(phase cairn.Phase) {
+func (w *town) hold(phase consensus.Phase) {
 	w.t.Helper()
 	w.eventually("the fronts hold "+string(phase), func() bool {
 		for _, n := range []string{"11", "12"} {
@@ -93,7 +93,7 @@
 	}
 	w.stop("1") // the first in the order has the duty
 	w.eventually("completed", func() bool { _, r := w.rollout(2); return r.State == "completed" })
-	w.hold(cairn.Completed)
+	w.hold(consensus.Completed)
 	// The old searchers end at once.
 	for _, id := range []string{"plain-a", "plain-b"} {
 		s[id].srv.CloseClientConnections()
@@ -132,7 +132,7 @@
 	}
 	w.eventually("it is asked", func() bool { return news[0].ran()+news[1].ran() > 0 })
 	w.eventually("rolled back", func() bool { _, r := w.rollout(2); return r.State == "rolled_back" })
-	w.hold(cairn.RolledBack)
+	w.hold(consensus.RolledBack)
 	time.Sleep(300 * time.Millisecond)
 	asked := news[0].ran() + news[1].ran()
 	time.Sleep(500 * time.Millisecond)
@@ -291,7 +291,7 @@
 	for n := 1; n <= 4; n++ {
 		w.run(n, true, 1, 2, 3)
 	}
-	defer repeat(3, func(i int) { w.control(i+1, "PUT", "0", config(3, "s1")) })()
+	defer repeat(3, func(i int) { w.control(i+1, "PUT", "0", configBody(3, "s1")) })()
 	time.Sleep(100 * time.Millisecond)
 	node := w.run(5, false, 1, 2, 3)
 	w.eventually("the fifth votes", func() bool { s := node.hut.state(); return s.Votes(node.hut.acc.ID) })
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
 )
 
 // searcher stands in for one searcher.
@@ -189,7 +189,7 @@
 func (w *town) ip(n int) string { return fmt.Sprintf("%s%d", w.net, n) }
 
 // settings of node n; huts have numbers below 10.
-func (w *town) settings(n int, first bool, seeds ...int) *signpost.Settings {
+func (w *town) settings(n int, first bool, seeds ...int) *config.Settings {
 	serves, listen, data := "front", fmt.Sprintf("FrontAddress: %q\n  ReadinessAddress: %q", w.ip(n)+":8080", w.ip(n)+":8081"), ""
 	if n > 20 {
 		serves, listen = "", ""
@@ -219,7 +219,7 @@
  ListenAddresses: {%s},
  Bounds: {InTouchMs: 1000, AcknowledgeMs: 2500, CatchUpS: 1, DrainMs: 800, GraceS: 1, ConfigEffectMs: 1000, RetryBudgetRatio: 0.5, RetryWindowS: 2, RetryBudgetSlack: 100, ExposureShare: 0.3, ExposureSlack: 50, RollbackMs: 1500}, CloudApi: {Address: %q}}`,
 		n, w.ip(n), zone, serves, w.port, w.port+10, strings.Join(l, ","), first, data, w.losses, strings.ReplaceAll(listen, "\n", ","), w.platform.Listener.Addr().String())
-	s, err := signpost.ParseSettings([]byte(text))
+	s, err := config.ParseSettings([]byte(text))
 	if err != nil {
 		w.t.Fatalf("settings: %v\n%s", err, text)
 	}
@@ -279,7 +279,7 @@
 }
 
 // config is a configuration with a gathered route over shards, a safe and an unsafe plain one.
-func config(version int, shards ...string) string {
+func configBody(version int, shards ...string) string {
 	var names, services []string
 	services = append(services, `{"Name":"origin","HealthPath":"/health","ConnectionLimit":60,"RequestsPerS":40}`)
 	for _, s := range append([]string{"plain"}, shards...) {
--- a/internal/lodge/start_test.go
+++ b/internal/lodge/start_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/cairn"
-	"swiftswitch/internal/cellar"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/storage"
 )
 
 // startHut opens the hut of node 1, without its loops.
@@ -29,14 +29,14 @@
 	w := newTown(t)
 	for life := int64(1); life <= 3; life++ {
 		h := startHut(t, w, life == 1)
-		if h.life != life || h.acc.ID != cairn.GenesisID(w.ip(1)) || len(h.acc.State.Voters) != 3 {
+		if h.life != life || h.acc.ID != consensus.GenesisID(w.ip(1)) || len(h.acc.State.Voters) != 3 {
 			t.Errorf("start %d: life %d as %s with %d voters", life, h.life, h.acc.ID, len(h.acc.State.Voters))
 		}
 		// What it was told of versions under way stands under that life, so
 		// that a later one's word is never taken for an earlier one's.
 		var send *ledger
 		h.desk.ask(func() {
-			h.acc.State.Rollouts = []cairn.Rollout{{N: 1, Service: "plain", Target: "v2", Phase: cairn.Canary}}
+			h.acc.State.Rollouts = []consensus.Rollout{{N: 1, Service: "plain", Target: "v2", Phase: consensus.Canary}}
 			_, send, _ = h.carry()
 		})
 		if send == nil || send.Life != life {
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		h.cellar.Close(time.Second)
-		c, err := cellar.Open(after, time.Second, time.Second)
+		c, err := storage.Open(after, time.Second, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,9 +63,9 @@
 // first start of all; one that was killed before it had an identity is.
 func TestSetAsideStoreEndsTheGenesisIdentity(t *testing.T) {
 	w := newTown(t)
-	genesis := cairn.GenesisID(w.ip(1))
+	genesis := consensus.GenesisID(w.ip(1))
 	dir := w.settings(1, true, 1, 2, 3).DataDirectory
-	c, err := cellar.Open(dir, time.Second, time.Second)
+	c, err := storage.Open(dir, time.Second, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		}
 	}
 	// The process ends after the store was set aside and before it has an identity.
-	if c, err = cellar.Open(dir, time.Second, time.Second); err != nil {
+	if c, err = storage.Open(dir, time.Second, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	c.Close(time.Second)
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/endpoints"
 )
 
 // HutStatus is the hut's part of the status.
@@ -38,7 +38,7 @@
 	Polling bool
 	// LeaseAgeMs is how long ago the holder asked for the lease that runs.
 	LeaseAgeMs int64 `json:",omitempty"`
-	Table      hutbook.Stamp
+	Table      endpoints.Stamp
 	Searchers  int
 	Fronts     map[string]int64
 	Purge      int64    `json:",omitempty"`
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -1,7 +1,7 @@
 package lodge
 
 import (
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/endpoints"
 )
 
 // The searcher table between huts.
@@ -11,27 +11,27 @@
 
 // delta is what changed in the table since the one that is held, packed once
 // for all who hold that; it runs on the desk.
-func (h *hut) delta(held hutbook.Stamp) []byte {
-	var from *hutbook.Table
+func (h *hut) delta(held endpoints.Stamp) []byte {
+	var from *endpoints.Table
 	for _, t := range h.past {
 		if t.Stamp == held {
 			from = t
 		}
 	}
 	if from == nil {
-		held = hutbook.Stamp{}
+		held = endpoints.Stamp{}
 	}
 	d, ok := h.deltas[held]
 	if !ok {
-		d = pack(encode("delta", hutbook.Diff(from, h.table)))
+		d = pack(encode("delta", endpoints.Diff(from, h.table)))
 		h.deltas[held] = d
 	}
 	return d
 }
 
 // bring tells another hut what changed in the table; it runs on the desk.
-func (h *hut) bring(ip string, held hutbook.Stamp) {
-	stamp, d, whole := h.table.Stamp, h.delta(held), h.delta(hutbook.Stamp{})
+func (h *hut) bring(ip string, held endpoints.Stamp) {
+	stamp, d, whole := h.table.Stamp, h.delta(held), h.delta(endpoints.Stamp{})
 	go func() {
 		addr, within := h.n.set().RopeAddr(ip), h.n.heartbeat(0.8)
 		var say tableSay
@@ -43,22 +43,22 @@
 
 // takeDelta takes a change of the table from another hut and tells which table
 // there is now; it runs on the desk.
-func (h *hut) takeDelta(d *hutbook.Delta) hutbook.Stamp {
+func (h *hut) takeDelta(d *endpoints.Delta) endpoints.Stamp {
 	from := h.table
-	if d.From == (hutbook.Stamp{}) {
+	if d.From == (endpoints.Stamp{}) {
 		from = nil
 	}
 	if t := from.Follow(d); t != nil {
 		h.merge(t)
 	}
 	if h.table == nil {
-		return hutbook.Stamp{}
+		return endpoints.Stamp{}
 	}
 	return h.table.Stamp
 }
 
 // setTable puts a newer table in force; it runs on the desk.
-func (h *hut) setTable(t *hutbook.Table) {
+func (h *hut) setTable(t *endpoints.Table) {
 	if h.table != nil {
 		h.past = append(h.past, h.table)
 		h.past = h.past[max(0, len(h.past)-pastKept):]
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -13,19 +13,19 @@
 
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/panjf2000/ants/v2"
-	"swiftswitch/internal/belay"
-	"swiftswitch/internal/fork"
-	"swiftswitch/internal/gather"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rations"
-	"swiftswitch/internal/rope"
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/signpost"
-	"swiftswitch/internal/switchback"
-	"swiftswitch/internal/trailhead"
-	"swiftswitch/internal/traverse"
-	"swiftswitch/internal/waymark"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/frontend"
+	"swiftswitch/internal/peersampling"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/shardmap"
+	"swiftswitch/internal/transport"
+	"swiftswitch/internal/upstream"
 )
 
 // Options are the project's defaults that an operator may change on the
@@ -58,7 +58,7 @@
 	// Saddle: shards without a searcher in this zone are gathered by a front in another.
 	Saddle bool
 	// Rollout says how new versions are tried and judged.
-	Rollout belay.Options
+	Rollout rollout.Options
 	// Hearsay: fronts tell each other, by way of huts, which searchers do not answer.
 	Hearsay bool
 }
@@ -71,7 +71,7 @@
 
 // DefaultOptions are the defaults.
 func DefaultOptions() Options {
-	return Options{Shelf: 0.1, LarderShelf: 0.35, Slots: 6, SwitchWait: 0.4, LeaseBeats: 2, HedgeAt: 0.5, Soft: 0.89, Late: 0.35, BudgetKeep: 0.85, FarPenalty: 1, Crowd: 2, Saddle: true, Hearsay: true, Rollout: belay.Defaults()}
+	return Options{Shelf: 0.1, LarderShelf: 0.35, Slots: 6, SwitchWait: 0.4, LeaseBeats: 2, HedgeAt: 0.5, Soft: 0.89, Late: 0.35, BudgetKeep: 0.85, FarPenalty: 1, Crowd: 2, Saddle: true, Hearsay: true, Rollout: rollout.Defaults()}
 }
 
 // Check tells which option is out of its range, and what is allowed.
@@ -102,38 +102,38 @@
 	opt  Options
 	desk *desk
 
-	rng    *traverse.Range
-	ledger *rations.Ledger
-	head   *trailhead.Head
+	rng    *upstream.Range
+	ledger *ratelimit.Ledger
+	head   *frontend.Head
 	pool   *ants.Pool
-	choice *saddle.Choice
+	choice *relay.Choice
 	ready  atomic.Bool
 	// larder: the node serves no clients, it keeps copies.
 	larder  bool
-	pantry  *trailhead.Pantry
+	pantry  *frontend.Pantry
 	kitchen *kitchen
 	larders atomic.Pointer[larders]
-	ways    *saddle.Choice
+	ways    *relay.Choice
 	// heardAt is when a hut last answered; fronts is how many fronts there are.
 	heardAt atomic.Int64
 	fronts  atomic.Int64
 
 	// Owned by the desk.
-	board   *switchback.Board
-	maps    map[int64]*fork.Map
-	table   *hutbook.Table
+	board   *shardmap.Board
+	maps    map[int64]*routing.Map
+	table   *endpoints.Table
 	huts    []hutAt
 	watched map[string]bool
 	// picked are the huts that this node watches, the first before the
 	// others; bad are those that did not answer, until when.
 	picked []string
 	bad    map[string]time.Duration
-	counts map[string]traverse.Fronts
+	counts map[string]upstream.Fronts
 	// held is what the watchers tell the huts that this node holds.
 	held     atomic.Pointer[holds]
 	fetching atomic.Bool
 	// config is the newest configuration that was fetched.
-	config atomic.Pointer[signpost.Configuration]
+	config atomic.Pointer[config.Configuration]
 
 	// placed: the node knows where the huts are, and so which is the nearest.
 	placed atomic.Bool
@@ -147,15 +147,15 @@
 	scout scout
 
 	ln   atomic.Pointer[net.Listener]
-	gate rope.Gate
+	gate transport.Gate
 	// def are the limits for clients where the operator gives none.
-	def fork.Limits
+	def routing.Limits
 }
 
 // holds is what a node has of all that the huts tell; it is never changed.
 type holds struct {
 	slot, version, purge, rolled int64
-	stamp                        hutbook.Stamp
+	stamp                        endpoints.Stamp
 }
 
 func newTrail(n *Node, opt Options) (*trail, error) {
@@ -165,21 +165,21 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &trail{n: n, opt: opt, desk: newDesk(), pool: pool, maps: map[int64]*fork.Map{}, watched: map[string]bool{}, bad: map[string]time.Duration{}, counts: map[string]traverse.Fronts{}, missed: make(chan struct{}, 1)}
-	t.def = fork.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: signpost.Ms(b.InTouchMs, 1), Idle: signpost.Ms(b.InTouchMs, 3)}
-	t.rng = traverse.New(traverse.Options{
-		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: signpost.Ms(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
-		KeepIdle: signpost.Ms(b.InTouchMs, 1), Settle: signpost.Ms(b.InTouchMs, 0.05), FailsOut: 3, OutFor: signpost.Ms(b.InTouchMs, 0.2),
-		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: signpost.Ms(b.InTouchMs, 0.75),
+	t := &trail{n: n, opt: opt, desk: newDesk(), pool: pool, maps: map[int64]*routing.Map{}, watched: map[string]bool{}, bad: map[string]time.Duration{}, counts: map[string]upstream.Fronts{}, missed: make(chan struct{}, 1)}
+	t.def = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Ms(b.InTouchMs, 1), Idle: config.Ms(b.InTouchMs, 3)}
+	t.rng = upstream.New(upstream.Options{
+		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Ms(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
+		KeepIdle: config.Ms(b.InTouchMs, 1), Settle: config.Ms(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Ms(b.InTouchMs, 0.2),
+		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Ms(b.InTouchMs, 0.75),
 	})
-	t.ledger = rations.New(rations.Rules{
-		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: signpost.Sec(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
+	t.ledger = ratelimit.New(ratelimit.Rules{
+		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Sec(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
 	}, n.steady())
-	guide := &gather.Guide{Range: t.rng, Ledger: t.ledger, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
-	t.head = trailhead.New(trailhead.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
+	guide := &scatter.Guide{Range: t.rng, Ledger: t.ledger, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
+	t.head = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
 	if opt.Saddle {
-		t.choice = saddle.NewChoice(n.heartbeat(1))
-		t.head.SetAcross(t.choice, func(ip string, ask saddle.Ask, say *saddle.Say, within time.Duration) error {
+		t.choice = relay.NewChoice(n.heartbeat(1))
+		t.head.SetAcross(t.choice, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
 			err := n.call.Ask(n.set().RopeAddr(ip), pathSaddle, ask, say, within)
 			if err != nil {
 				// Others may do better.
@@ -189,12 +189,12 @@
 		})
 	}
 	t.larder = opt.Role == RoleLarder
-	t.ways = saddle.NewChoice(n.heartbeat(1))
+	t.ways = relay.NewChoice(n.heartbeat(1))
 	memory := s.Limits.MemoryMb * (1 << 20)
 	if memory <= 0 {
 		memory = 256 << 20
 	}
-	t.pantry = trailhead.NewPantry(int(memory*opt.Shelf), n.steady, t)
+	t.pantry = frontend.NewPantry(int(memory*opt.Shelf), n.steady, t)
 	t.head.SetPantry(t.pantry)
 	if t.larder {
 		t.kitchen = newKitchen(n, t, int(memory*opt.LarderShelf))
@@ -202,8 +202,8 @@
 	} else {
 		t.kitchen = newKitchen(n, t, int(memory*opt.Shelf/4))
 	}
-	t.board = switchback.New(switchback.Options{
-		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: signpost.Ms(b.ConfigEffectMs, opt.SwitchWait),
+	t.board = shardmap.New(shardmap.Options{
+		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Ms(b.ConfigEffectMs, opt.SwitchWait),
 	})
 	t.held.Store(&holds{slot: -1, purge: -1, rolled: -1})
 	t.rng.Full = func(id string) {
@@ -276,7 +276,7 @@
 		if now < t.bad[h.IP] {
 			bad = 1
 		}
-		return bad, n.distance(h.Zone), traverse.Draw(n.set().NodeName + " " + h.IP)
+		return bad, n.distance(h.Zone), upstream.Draw(n.set().NodeName + " " + h.IP)
 	}
 	slices.SortFunc(order, func(a, b hutAt) int {
 		ab, ad, ah := rank(a)
@@ -347,10 +347,10 @@
 			continue
 		}
 		fails = 0
-		var d *hutbook.Delta
+		var d *endpoints.Delta
 		if say.Delta != nil {
 			if d, err = unpackDelta(say.Delta, n.maxMessage()); err != nil {
-				logbook.Log(logbook.MessageRefused, "from", ip, "path", pathWatch, "err", err)
+				events.Log(events.MessageRefused, "from", ip, "path", pathWatch, "err", err)
 				d = nil
 			}
 		}
@@ -403,13 +403,13 @@
 }
 
 // news takes what a hut said; it runs on the desk.
-func (t *trail) news(ip string, ask watchAsk, say watchSay, d *hutbook.Delta) {
+func (t *trail) news(ip string, ask watchAsk, say watchSay, d *endpoints.Delta) {
 	if len(say.Huts) > 0 && say.Slot >= t.held.Load().slot {
 		t.huts = say.Huts
 		t.placed.Store(true)
 		t.pick()
 		for _, h := range say.Huts {
-			t.n.view.post(func() { t.n.way.Add(waymark.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
+			t.n.view.post(func() { t.n.way.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
 		}
 	}
 	if say.Roster != nil {
@@ -438,8 +438,8 @@
 		t.takeRollouts(say)
 	}
 	delete(t.bad, ip)
-	t.counts[ip] = traverse.Fronts{All: say.Fronts, Region: say.Around, Zone: say.Here}
-	most := traverse.Fronts{All: 1}
+	t.counts[ip] = upstream.Fronts{All: say.Fronts, Region: say.Around, Zone: say.Here}
+	most := upstream.Fronts{All: 1}
 	for _, c := range t.counts {
 		most.All, most.Region, most.Zone = max(most.All, c.All), max(most.Region, c.Region), max(most.Zone, c.Zone)
 	}
@@ -451,7 +451,7 @@
 	}
 	if d != nil && (t.table == nil || t.table.Stamp.Less(d.To)) {
 		from := t.table
-		if d.From == (hutbook.Stamp{}) {
+		if d.From == (endpoints.Stamp{}) {
 			from = nil
 		}
 		if table := from.Follow(d); table != nil {
@@ -466,7 +466,7 @@
 }
 
 // setTable takes a newer table; it runs on the desk.
-func (t *trail) setTable(table *hutbook.Table) {
+func (t *trail) setTable(table *endpoints.Table) {
 	t.table = table
 	t.hold(func(h *holds) { h.stamp = table.Stamp })
 	t.rng.SetTable(table)
@@ -495,7 +495,7 @@
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.n.call.Call(t.n.set().RopeAddr(ip), "POST", pathVersion, nil, encode("version", ask), signpost.Ms(t.n.set().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.n.call.Call(t.n.set().RopeAddr(ip), "POST", pathVersion, nil, encode("version", ask), config.Ms(t.n.set().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
@@ -512,7 +512,7 @@
 		c = have.Follow(c, say.Gone)
 	}
 	if err != nil || c.Version != say.Version {
-		logbook.Log(logbook.MessageRefused, "from", ip, "version", say.Version, "err", err)
+		events.Log(events.MessageRefused, "from", ip, "version", say.Version, "err", err)
 		return
 	}
 	t.config.Store(c)
@@ -520,29 +520,29 @@
 }
 
 // unpackVersion reads a packed configuration.
-func (t *trail) unpackVersion(body []byte) (*signpost.Configuration, error) {
+func (t *trail) unpackVersion(body []byte) (*config.Configuration, error) {
 	raw, err := unpack(body, t.n.maxMessage())
 	if err != nil {
 		return nil, err
 	}
-	return signpost.TakeConfiguration(raw)
+	return config.TakeConfiguration(raw)
 }
 
 // take puts decided state in its place; it runs on the desk. A node never
 // goes back to an older version.
-func (t *trail) take(say versionSay, c *signpost.Configuration, on time.Duration) {
+func (t *trail) take(say versionSay, c *config.Configuration, on time.Duration) {
 	v := say.Version
 	if v <= t.board.LastBuilt {
 		return
 	}
 	defer t.hold(func(h *holds) { h.version, h.slot = v, max(h.slot, say.Slot) })
-	m := fork.Compile(c, t.def)
+	m := routing.Compile(c, t.def)
 	t.maps[v] = m
 	age := time.Duration(say.AgeMs)*time.Millisecond + on
-	if t.board.Built(switchback.Cut{Version: v, Shards: m.Shards()}, age, t.n.steady()) {
+	if t.board.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.n.steady()) {
 		t.publish()
 	} else {
-		logbook.Log(logbook.CutNext, "version", v, "current", t.board.Current.Version)
+		events.Log(events.CutNext, "version", v, "current", t.board.Current.Version)
 	}
 	t.tick()
 }
@@ -553,10 +553,10 @@
 	switched, ready := t.board.Tick(t.n.steady())
 	freed := t.board.TakeFreed()
 	for _, f := range freed {
-		logbook.Log(logbook.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
+		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
 	}
 	if switched {
-		logbook.Log(logbook.CutSwitched, "from", old, "to", t.board.Current.Version, "ready", ready)
+		events.Log(events.CutSwitched, "from", old, "to", t.board.Current.Version, "ready", ready)
 	}
 	if switched || len(freed) > 0 {
 		t.publish()
@@ -574,7 +574,7 @@
 			delete(t.maps, v)
 		}
 	}
-	s := &trailhead.Snapshot{Map: m, Holders: map[string]map[string][]string{}, Lanes: t.scout.lanes}
+	s := &frontend.Snapshot{Map: m, Holders: map[string]map[string][]string{}, Lanes: t.scout.lanes}
 	for _, shard := range t.board.Current.Shards {
 		s.Holders[shard] = t.board.Held(shard)
 	}
@@ -586,7 +586,7 @@
 	}
 	t.head.Set(s)
 	if !t.n.leaving.Load() && t.ready.CompareAndSwap(false, true) {
-		logbook.Log(logbook.FrontReady, "version", m.Version, "searchers", len(t.table.Searchers))
+		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Searchers))
 	}
 }
 
@@ -603,26 +603,26 @@
 		return t.def.HeaderTimeout, t.def.Idle
 	}
 	go func() {
-		ln, ok := rope.Listen(t.n.set().ListenAddresses.FrontAddress, t.n.userTimeout(), t.n.heartbeat(0.1), t.n.stop)
+		ln, ok := transport.Listen(t.n.set().ListenAddresses.FrontAddress, t.n.userTimeout(), t.n.heartbeat(0.1), t.n.stop)
 		if !ok {
 			return
 		}
 		t.ln.Store(&ln)
-		rope.Serve(ln, lis, t.head.Handle)
+		transport.Serve(ln, lis, t.head.Handle)
 	}()
 }
 
 func (t *trail) serveReadiness() {
-	ln, ok := rope.Listen(t.n.set().ListenAddresses.ReadinessAddress, t.n.userTimeout(), t.n.heartbeat(0.1), t.n.stop)
+	ln, ok := transport.Listen(t.n.set().ListenAddresses.ReadinessAddress, t.n.userTimeout(), t.n.heartbeat(0.1), t.n.stop)
 	if !ok {
 		return
 	}
-	rope.Serve(ln, t.n.listener(t.n.heartbeat(8)), func(_ context.Context, c *app.RequestContext) {
+	transport.Serve(ln, t.n.listener(t.n.heartbeat(8)), func(_ context.Context, c *app.RequestContext) {
 		status := 503
 		if t.ready.Load() && !t.n.leaving.Load() {
 			status = 200
 		}
-		rope.Answer(c, status, map[string]bool{"Ready": status == 200})
+		transport.Answer(c, status, map[string]bool{"Ready": status == 200})
 	})
 }
 
@@ -633,7 +633,7 @@
 		t.desk.ask(func() {
 			t.tick()
 			if t.board.Next != nil {
-				wait = signpost.Ms(t.n.set().Bounds.ConfigEffectMs, 0.02)
+				wait = config.Ms(t.n.set().Bounds.ConfigEffectMs, 0.02)
 			}
 		})
 		t.rng.Sweep(time.Now())
@@ -647,7 +647,7 @@
 
 // leave lets the platform send its clients elsewhere, then ends what is under way.
 func (t *trail) leave(start time.Time, grace time.Duration) {
-	logbook.Log(logbook.FrontUnready, "why", "leaving")
+	events.Log(events.FrontUnready, "why", "leaving")
 	t.head.Leave()
 	time.Sleep(time.Until(start.Add(grace / 2)))
 	if ln := t.ln.Load(); ln != nil {
@@ -672,11 +672,11 @@
 	LastBuilt int64
 	Current   int64
 	Next      int64 `json:",omitempty"`
-	Table     hutbook.Stamp
+	Table     endpoints.Stamp
 	Searchers int
 	Fronts    int
 	// Connections to searchers, and how many of these do not answer.
-	Connections traverse.Count
+	Connections upstream.Count
 	Busy        int64
 	// Helped counts the requests in which this front gathered for another.
 	Helped int64
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"swiftswitch/internal/saddle"
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/relay"
 )
 
 // What huts tell the fronts that watch them.
@@ -136,10 +136,10 @@
 	r := roll{}
 	for name, f := range h.fronts {
 		if f.first && now < f.until {
-			r.Fronts = append(r.Fronts, saddle.Front{Name: name, IP: f.ip, Zone: f.zone, Out: !f.ready, Keeps: f.larder})
+			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, Out: !f.ready, Keeps: f.larder})
 		}
 	}
-	slices.SortFunc(r.Fronts, func(a, b saddle.Front) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(r.Fronts, func(a, b relay.Front) int { return strings.Compare(a.Name, b.Name) })
 	if !slices.Equal(r.Fronts, h.rolled) {
 		h.rolled = slices.Clone(r.Fronts)
 		h.rollN++
@@ -165,16 +165,16 @@
 const rosterMost = 4
 
 // roster lists some fronts of every other zone that are ready; it runs on the desk.
-func (h *hut) roster(now time.Duration, but string) []saddle.Front {
+func (h *hut) roster(now time.Duration, but string) []relay.Front {
 	all := h.roll().Fronts
 	for ip, r := range h.rolls {
-		if now-h.others[ip].at < signpost.Ms(h.n.set().Bounds.InTouchMs, 1) {
+		if now-h.others[ip].at < config.Ms(h.n.set().Bounds.InTouchMs, 1) {
 			all = append(all, r.Fronts...)
 		}
 	}
 	count := map[string]int{}
 	seen := map[string]bool{}
-	out := []saddle.Front{}
+	out := []relay.Front{}
 	for _, i := range rand.Perm(len(all)) {
 		f := all[i]
 		if !f.Out && !f.Keeps && f.Zone != but && !seen[f.Name] && count[f.Zone] < rosterMost {
@@ -205,7 +205,7 @@
 // in its life before: after a loss of everything the fronts must not think
 // that each of them is alone. It runs on the desk.
 func (h *hut) countFronts(now time.Duration) int {
-	window := signpost.Sec(h.n.set().Bounds.RetryWindowS, 1)
+	window := config.Sec(h.n.set().Bounds.RetryWindowS, 1)
 	if h.countedAt > 0 && now-h.countedAt < h.n.heartbeat(0.1) && len(h.fronts) > few {
 		// Many ask at once, and each would count them all.
 		return h.counted
@@ -294,7 +294,7 @@
 			if b.Version != m.Version {
 				continue
 			}
-			if d, ok := signpost.Between([]byte(b.Body), raw); ok {
+			if d, ok := config.Between([]byte(b.Body), raw); ok {
 				p.say.From, p.say.Gone, raw = m.Version, d.Gone, d.Body
 			}
 		}
