--- a/internal/bivouac/bivouac_test.go
+++ b/internal/membership/bivouac_test.go
@@ -1,10 +1,10 @@
-package bivouac
+package membership
 
 import (
 	"testing"
 	"time"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 const s = time.Second
@@ -43,10 +43,10 @@
 	}
 }
 
-func state(slot int64, ids ...string) cairn.State {
-	st := cairn.State{Slot: slot}
+func state(slot int64, ids ...string) consensus.State {
+	st := consensus.State{Slot: slot}
 	for _, id := range ids {
-		st.Voters = append(st.Voters, cairn.Voter{ID: id, IP: "ip-" + id[:1]})
+		st.Voters = append(st.Voters, consensus.Voter{ID: id, IP: "ip-" + id[:1]})
 	}
 	return st
 }
@@ -65,7 +65,7 @@
 func TestWhoTakesWhosePlace(t *testing.T) {
 	base := state(7, "a1", "b1", "c1")
 	met := &Say{ID: "n1"}
-	newcomer := cairn.Voter{ID: "n1", IP: "ip-n"}
+	newcomer := consensus.Voter{ID: "n1", IP: "ip-n"}
 	for _, x := range []struct {
 		name string
 		c    Case
@@ -99,7 +99,7 @@
 		if got != x.want {
 			t.Errorf("%s: %v, not %v", x.name, got, x.want)
 		}
-		next := cairn.State{Voters: voters}
+		next := consensus.State{Voters: voters}
 		if placed := got >= Returns; placed != next.Votes("n1") || x.out != "" && next.Votes(x.out) {
 			t.Errorf("%s: %v", x.name, voters)
 		}
@@ -118,7 +118,7 @@
 // A disk lost twice at one address: of the identities only the one that lives
 // there gets the place, however late the other's call is judged.
 func TestDiskLostTwice(t *testing.T) {
-	c := Case{Self: "a1", Base: state(7, "a1", "b1", "c1"), Wanted: 3, Newcomer: cairn.Voter{ID: "c2", IP: "ip-c"}, Voters: says("", "a1", "b1"), Met: &Say{ID: "c3"}}
+	c := Case{Self: "a1", Base: state(7, "a1", "b1", "c1"), Wanted: 3, Newcomer: consensus.Voter{ID: "c2", IP: "ip-c"}, Voters: says("", "a1", "b1"), Met: &Say{ID: "c3"}}
 	if _, v := c.Judge(); v != Unmet {
 		t.Fatalf("an identity that is gone: %v", v)
 	}
@@ -127,7 +127,7 @@
 	if v != Returns {
 		t.Fatalf("the one that lives there: %v", v)
 	}
-	c.Base = cairn.State{Slot: 8, Voters: voters}
+	c.Base = consensus.State{Slot: 8, Voters: voters}
 	c.Newcomer.ID = "c2"
 	if _, v := c.Judge(); v != Unmet {
 		t.Fatalf("the late call of the first takes the place again: %v", v)
@@ -147,9 +147,9 @@
 // got it dies, and the other has the place once it has been silent for long.
 func TestTwoForOnePlace(t *testing.T) {
 	base := state(7, "a1", "b1", "c1")
-	judge := func(self, id string, base cairn.State, silent string) ([]cairn.Voter, Verdict) {
+	judge := func(self, id string, base consensus.State, silent string) ([]consensus.Voter, Verdict) {
 		// It has caught up with the last change of voters.
-		return Case{Self: self, Base: base, Wanted: 3, Newcomer: cairn.Voter{ID: id, IP: "ip-" + id}, Held: base.VotersSlot, Met: &Say{ID: id}, Voters: says(silent, "a1", "b1")}.Judge()
+		return Case{Self: self, Base: base, Wanted: 3, Newcomer: consensus.Voter{ID: id, IP: "ip-" + id}, Held: base.VotersSlot, Met: &Say{ID: id}, Voters: says(silent, "a1", "b1")}.Judge()
 	}
 	m, _ := judge("a1", "m1", base, "c1")
 	n, _ := judge("b1", "n1", base, "c1")
@@ -157,7 +157,7 @@
 		t.Fatal("no place")
 	}
 	// Both propose for slot 8: one is chosen there, the other judges anew on it.
-	next := base.Apply(cairn.Value{Voters: m})
+	next := base.Apply(consensus.Value{Voters: m})
 	next.Slot = 7 // what says() answers with
 	if v, why := judge("b1", "n1", next, ""); v != nil || why != Full {
 		t.Fatalf("the second got a place as well: %v", why)
@@ -185,16 +185,16 @@
 // A member that was replaced while it was away holds an old vote: neither it
 // nor two such members of different ages decide anything against what went on.
 func TestOldVotesDecideNothing(t *testing.T) {
-	acc := map[string]*cairn.Acceptor{}
+	acc := map[string]*consensus.Acceptor{}
 	base := state(3, "a1", "b1", "c1")
 	for _, id := range []string{"a1", "b1", "c1", "m1", "n1"} {
-		acc[id] = &cairn.Acceptor{ID: id, State: base}
+		acc[id] = &consensus.Acceptor{ID: id, State: base}
 	}
 	ballots := int64(0)
-	run := func(by string, own *cairn.Value, up ...string) *cairn.Proposer {
+	run := func(by string, own *consensus.Value, up ...string) *consensus.Proposer {
 		ballots++
-		p := cairn.NewProposer(acc[by].State, cairn.Ballot{N: ballots, By: by}, own)
-		for p.Stage <= cairn.Accepting {
+		p := consensus.NewProposer(acc[by].State, consensus.Ballot{N: ballots, By: by}, own)
+		for p.Stage <= consensus.Accepting {
 			st := p.Stage
 			for _, id := range up {
 				say, _ := acc[id].Take(p.Ask())
@@ -204,30 +204,30 @@
 				}
 			}
 			if p.Stage == st {
-				p.Stage = cairn.Outbid
+				p.Stage = consensus.Outbid
 			}
 		}
 		return p
 	}
-	set := func(ids ...string) *cairn.Value { return &cairn.Value{Voters: state(0, ids...).Voters} }
+	set := func(ids ...string) *consensus.Value { return &consensus.Value{Voters: state(0, ids...).Voters} }
 	// c1 is cut off and replaced by m1; then b1 is cut off before it learns that, and replaced by n1.
-	if p := run("a1", set("a1", "b1", "m1"), "a1", "b1"); p.Stage != cairn.Chosen {
+	if p := run("a1", set("a1", "b1", "m1"), "a1", "b1"); p.Stage != consensus.Chosen {
 		t.Fatal("the first change")
 	}
 	next := base.Apply(*set("a1", "b1", "m1"))
 	acc["a1"].Learn(next)
 	acc["m1"].Learn(next)
-	if p := run("a1", set("a1", "n1", "m1"), "a1", "m1"); p.Stage != cairn.Chosen {
+	if p := run("a1", set("a1", "n1", "m1"), "a1", "m1"); p.Stage != consensus.Chosen {
 		t.Fatal("the second change")
 	}
 	// Both old ones are back, without the others.
-	p := run("c1", &cairn.Value{Version: 9}, "c1", "b1")
-	if p.Stage == cairn.Chosen && !p.Value.Equal(*set("a1", "b1", "m1")) {
+	p := run("c1", &consensus.Value{Version: 9}, "c1", "b1")
+	if p.Stage == consensus.Chosen && !p.Value.Equal(*set("a1", "b1", "m1")) {
 		t.Fatalf("two old votes chose %+v", p.Value)
 	}
 	acc["c1"].Learn(next)
 	acc["b1"].Learn(next)
-	if p := run("c1", &cairn.Value{Version: 9}, "c1", "b1"); p.Stage == cairn.Chosen {
+	if p := run("c1", &consensus.Value{Version: 9}, "c1", "b1"); p.Stage == consensus.Chosen {
 		t.Fatal("one without a vote and an old one chose something")
 	}
 }
--- a/internal/bivouac/place.go
+++ b/internal/membership/place.go
@@ -1,9 +1,9 @@
-package bivouac
+package membership
 
 import (
 	"slices"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 // Say is what a node tells a judge.
@@ -19,8 +19,8 @@
 // Case is a newcomer that asks for a vote, and what its judge found out.
 type Case struct {
 	Self     string
-	Base     cairn.State
-	Newcomer cairn.Voter
+	Base     consensus.State
+	Newcomer consensus.Voter
 	// Held is the slot that the newcomer said it holds on disk.
 	Held   int64
 	Wanted int
@@ -63,7 +63,7 @@
 )
 
 // Judge decides a case. Voters are set where the newcomer gets a place.
-func (c Case) Judge() (voters []cairn.Voter, v Verdict) {
+func (c Case) Judge() (voters []consensus.Voter, v Verdict) {
 	said := map[string]Say{}
 	ahead := false
 	for _, s := range c.Voters {
@@ -88,7 +88,7 @@
 	case c.Met == nil || c.Met.ID != c.Newcomer.ID || c.Met.Leaving:
 		return nil, Unmet
 	}
-	at := func(f func(cairn.Voter) bool) []cairn.Voter {
+	at := func(f func(consensus.Voter) bool) []consensus.Voter {
 		i := slices.IndexFunc(c.Base.Voters, f)
 		if i < 0 {
 			return nil
@@ -97,19 +97,19 @@
 		l[i] = c.Newcomer
 		return l
 	}
-	if l := at(func(x cairn.Voter) bool { return x.IP == c.Newcomer.IP }); l != nil {
+	if l := at(func(x consensus.Voter) bool { return x.IP == c.Newcomer.IP }); l != nil {
 		return l, Returns
 	}
 	if len(c.Base.Voters) < c.Wanted {
 		return append(slices.Clone(c.Base.Voters), c.Newcomer), Grows
 	}
-	if l := at(func(x cairn.Voter) bool {
+	if l := at(func(x consensus.Voter) bool {
 		s, answers := said[x.ID]
 		return x.ID != c.Self && (answers && s.Leaving || !answers && c.Left[x.ID])
 	}); l != nil {
 		return l, Follows
 	}
-	if l := at(func(x cairn.Voter) bool {
+	if l := at(func(x consensus.Voter) bool {
 		if _, answers := said[x.ID]; answers || !slices.Contains(own.Silent, x.ID) {
 			return false
 		}
--- a/internal/bivouac/watch.go
+++ b/internal/membership/watch.go
@@ -1,4 +1,4 @@
-package bivouac
+package membership
 
 import "time"
 
--- a/internal/waymark/doc.go
+++ b/internal/peersampling/doc.go
@@ -2,4 +2,4 @@
 // entries are shuffled with neighbours, oldest first, in the way of Cyclon.
 // It is a pure state machine. In the field's terms: gossip membership with a
 // peer sampling service.
-package waymark
+package peersampling
--- a/internal/waymark/waymark.go
+++ b/internal/peersampling/waymark.go
@@ -1,4 +1,4 @@
-package waymark
+package peersampling
 
 import (
 	"math/rand/v2"
--- a/internal/rations/ceiling.go
+++ b/internal/ratelimit/ceiling.go
@@ -1,4 +1,4 @@
-package rations
+package ratelimit
 
 import "time"
 
--- a/internal/rations/doc.go
+++ b/internal/ratelimit/doc.go
@@ -2,4 +2,4 @@
 // share: per service, in every sliding window, a part of the requests plus
 // this node's share of the slack. In the field's terms: a distributed retry
 // budget.
-package rations
+package ratelimit
--- a/internal/saddle/doc.go
+++ b/internal/relay/doc.go
@@ -3,4 +3,4 @@
 // merged list comes back. Here are the messages and the choice of the front
 // to ask. In the field's terms: hierarchical aggregation in a scatter-gather
 // tree.
-package saddle
+package relay
--- a/internal/saddle/saddle.go
+++ b/internal/relay/saddle.go
@@ -1,4 +1,4 @@
-package saddle
+package relay
 
 import (
 	"math/rand/v2"
--- a/internal/belay/decide.go
+++ b/internal/rollout/decide.go
@@ -1,10 +1,10 @@
-package belay
+package rollout
 
 import (
 	"math"
 	"time"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 // Exposure is what a bad version may get at most: a share of all requests and some more.
@@ -14,7 +14,7 @@
 
 // Facts are what a decision rests on.
 type Facts struct {
-	Rollout cairn.Rollout
+	Rollout consensus.Rollout
 	// Spent of the term is over; Since is how long this node has known the phase.
 	Spent, Since time.Duration
 	// Bad tells what the charts found against the new version.
@@ -34,7 +34,7 @@
 
 // Step is what is to be decided next; an empty phase means nothing.
 type Step struct {
-	Phase cairn.Phase
+	Phase consensus.Phase
 	For   time.Duration
 	Why   string
 }
@@ -50,17 +50,17 @@
 	case !f.Rollout.Running():
 		return Step{}
 	case f.Bad != "":
-		return Step{Phase: cairn.RolledBack, Why: f.Bad}
-	case phase != cairn.Promote && f.Spent >= time.Duration(last*float64(term)):
-		return Step{Phase: cairn.RolledBack, Why: "not found good by its term"}
+		return Step{Phase: consensus.RolledBack, Why: f.Bad}
+	case phase != consensus.Promote && f.Spent >= time.Duration(last*float64(term)):
+		return Step{Phase: consensus.RolledBack, Why: "not found good by its term"}
 	}
 	switch phase {
-	case cairn.Canary:
+	case consensus.Canary:
 		if f.Spent < time.Duration(o.TrialAt*float64(term)) || 2*f.Ready < f.Old || f.Ready == 0 {
 			return Step{}
 		}
-		return Step{Phase: cairn.Trial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
-	case cairn.Trial:
+		return Step{Phase: consensus.Trial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
+	case consensus.Trial:
 		if f.Since < time.Duration(f.Rollout.ForMs)*time.Millisecond+f.Report || f.Ready == 0 {
 			return Step{}
 		}
@@ -68,10 +68,10 @@
 		if seen := f.Rate * f.Since.Seconds(); seen >= 8 && f.Good == 0 {
 			return Step{}
 		}
-		return Step{Phase: cairn.Promote, Why: "nothing found against it under load"}
-	case cairn.Promote:
+		return Step{Phase: consensus.Promote, Why: "nothing found against it under load"}
+	case consensus.Promote:
 		if f.Since >= f.Report && f.Behind == 0 || f.Since >= f.Settle {
-			return Step{Phase: cairn.Completed}
+			return Step{Phase: consensus.Completed}
 		}
 	}
 	return Step{}
--- a/internal/belay/judge.go
+++ b/internal/rollout/judge.go
@@ -1,4 +1,4 @@
-package belay
+package rollout
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"sort"
 	"time"
 
-	"swiftswitch/internal/barometer"
+	"swiftswitch/internal/cusum"
 )
 
 // Options are the project's defaults; all but the chart's and Subgroup are ratios.
 type Options struct {
 	// Chart holds the constants of the charts.
-	Chart barometer.Options
+	Chart cusum.Options
 	// Subgroup is how many tries of the new version are averaged at least.
 	Subgroup int
 	// Failures and Latency turn the metrics on.
@@ -31,7 +31,7 @@
 // Defaults are the project's defaults.
 func Defaults() Options {
 	return Options{
-		Chart: barometer.Defaults(), Subgroup: 4, Failures: true, Latency: true, Slower: 1.5, Worse: 0.05,
+		Chart: cusum.Defaults(), Subgroup: 4, Failures: true, Latency: true, Slower: 1.5, Worse: 0.05,
 		Canary: 0.5, Trial: 0.9, Keep: 0.75, TrialAt: 0.6,
 	}
 }
@@ -83,7 +83,7 @@
 type whoSeen struct{ n, excess, variance float64 }
 
 type line struct {
-	chart barometer.Chart
+	chart cusum.Chart
 	// fresh is the new version's subgroup being collected, by distance and searcher.
 	fresh map[place]Sum
 	// beside is the old version over the same moments, recent over a longer while.
@@ -206,13 +206,13 @@
 			continue
 		}
 		switch l.chart.Step(j.opt.Chart, z) {
-		case barometer.Above:
+		case cusum.Above:
 			a := Alarm{Metric: s.metric, Route: s.route, Bad: l.most()}
 			if a.Bad && j.bad == "" {
 				j.bad = s.metric + " on " + routeName(s.route)
 			}
 			alarms = append(alarms, a)
-		case barometer.Below:
+		case cusum.Below:
 			alarms = append(alarms, Alarm{Metric: s.metric, Route: s.route, Better: true})
 		}
 	}
--- a/internal/belay/lane.go
+++ b/internal/rollout/lane.go
@@ -1,16 +1,16 @@
-package belay
+package rollout
 
 import (
 	"time"
 
-	"swiftswitch/internal/cairn"
+	"swiftswitch/internal/consensus"
 )
 
 // Lane says to which versions of a service's searchers a node's requests may
 // go. It is never changed.
 type Lane struct {
 	From, Target string
-	Phase        cairn.Phase
+	Phase        consensus.Phase
 	// Share of the requests goes to Target in the canary phase, Trial of them
 	// until TrialUntil in the trial.
 	Share, Trial float64
@@ -37,16 +37,16 @@
 	}
 	listens := heard < deaf
 	switch l.Phase {
-	case cairn.Completed:
+	case consensus.Completed:
 		return Way{Then: l.Target}
-	case cairn.Promote:
+	case consensus.Promote:
 		if heard < 2*deaf {
 			return Way{Then: l.Target, Else: l.From}
 		}
 		return Way{Then: l.From, Else: l.Target}
-	case cairn.Canary, cairn.Trial:
+	case consensus.Canary, consensus.Trial:
 		share := l.Share
-		if l.Phase == cairn.Trial && now < l.TrialUntil {
+		if l.Phase == consensus.Trial && now < l.TrialUntil {
 			share = l.Trial
 		}
 		if listens && !l.Halted && coin < share {
@@ -58,7 +58,7 @@
 
 // Settled tells that the way rests on no clock and no coin.
 func (l *Lane) Settled() bool {
-	return l.Phase == "" || l.Phase == cairn.Completed || l.Phase == cairn.RolledBack
+	return l.Phase == "" || l.Phase == consensus.Completed || l.Phase == consensus.RolledBack
 }
 
 // Versions lists those that may hold slots, the one in force first.
@@ -66,11 +66,11 @@
 	switch {
 	case l == nil:
 		return nil
-	case l.Phase == cairn.Completed:
+	case l.Phase == consensus.Completed:
 		return []string{l.Target}
-	case l.Phase == cairn.Promote:
+	case l.Phase == consensus.Promote:
 		return []string{l.Target, l.From}
-	case l.Phase == cairn.Canary || l.Phase == cairn.Trial:
+	case l.Phase == consensus.Canary || l.Phase == consensus.Trial:
 		return []string{l.From, l.Target}
 	}
 	return []string{l.From}
--- a/internal/belay/sums.go
+++ b/internal/rollout/sums.go
@@ -1,4 +1,4 @@
-package belay
+package rollout
 
 import (
 	"slices"
--- a/internal/fork/fork.go
+++ b/internal/routing/fork.go
@@ -1,11 +1,11 @@
-package fork
+package routing
 
 import (
 	"sort"
 	"strings"
 	"time"
 
-	"swiftswitch/internal/signpost"
+	"swiftswitch/internal/config"
 )
 
 // Route is one route, ready for use.
@@ -36,7 +36,7 @@
 type Map struct {
 	Version  int64
 	Limits   Limits
-	Services map[string]*signpost.Service
+	Services map[string]*config.Service
 	hosts    map[string][]*Route
 }
 
@@ -48,8 +48,8 @@
 }
 
 // Compile makes a map of a checked configuration; def stands in for limits that are not given.
-func Compile(c *signpost.Configuration, def Limits) *Map {
-	m := &Map{Version: c.Version, Limits: def, Services: map[string]*signpost.Service{}, hosts: map[string][]*Route{}}
+func Compile(c *config.Configuration, def Limits) *Map {
+	m := &Map{Version: c.Version, Limits: def, Services: map[string]*config.Service{}, hosts: map[string][]*Route{}}
 	if l := c.Limits; l != nil {
 		if l.HeaderSizeBytes > 0 {
 			m.Limits.Header = int(l.HeaderSizeBytes)
@@ -58,10 +58,10 @@
 			m.Limits.Body = int(l.BodySizeBytes)
 		}
 		if l.HeaderTimeoutMs > 0 {
-			m.Limits.HeaderTimeout = signpost.Ms(l.HeaderTimeoutMs, 1)
+			m.Limits.HeaderTimeout = config.Ms(l.HeaderTimeoutMs, 1)
 		}
 		if l.IdleTimeoutMs > 0 {
-			m.Limits.Idle = signpost.Ms(l.IdleTimeoutMs, 1)
+			m.Limits.Idle = config.Ms(l.IdleTimeoutMs, 1)
 		}
 	}
 	for _, s := range c.Services {
@@ -69,9 +69,9 @@
 	}
 	for _, r := range c.Routes {
 		x := &Route{
-			Name: r.Name, Prefix: r.PathPrefix, Safe: r.RouteKind != signpost.KindUnsafe, Cached: r.RouteKind == signpost.KindCached,
-			Lifetime: signpost.Sec(r.CacheLifetimeS, 1),
-			Timeout:  signpost.Ms(r.TimeoutMs, 1), Target: signpost.Ms(r.TargetLatencyMs, 1),
+			Name: r.Name, Prefix: r.PathPrefix, Safe: r.RouteKind != config.KindUnsafe, Cached: r.RouteKind == config.KindCached,
+			Lifetime: config.Sec(r.CacheLifetimeS, 1),
+			Timeout:  config.Ms(r.TimeoutMs, 1), Target: config.Ms(r.TargetLatencyMs, 1),
 			Attempts: max(1, int(r.Attempts)), Priority: int(r.Priority),
 			Gathered: r.GatheredServices, Top: int(r.TopRecords), Share: r.MinimumShare,
 		}
--- a/internal/gather/gather_test.go
+++ b/internal/scatter/gather_test.go
@@ -1,4 +1,4 @@
-package gather
+package scatter
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"testing"
 
 	"github.com/cloudwego/hertz/pkg/protocol"
-	"swiftswitch/internal/diary"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/tracetest"
+	"swiftswitch/internal/upstream"
 )
 
 func TestMerge(t *testing.T) {
@@ -30,9 +30,9 @@
 }
 
 // outcomes of a trace: ok:STAMP, 500, notrun, unsent, unknown.
-func outcome(word string) traverse.Outcome {
+func outcome(word string) upstream.Outcome {
 	kind, stamp, _ := strings.Cut(word, ":")
-	o := traverse.Outcome{Resp: protocol.AcquireResponse(), Stamp: stamp}
+	o := upstream.Outcome{Resp: protocol.AcquireResponse(), Stamp: stamp}
 	switch kind {
 	case "ok":
 		o.Status = 200
@@ -43,11 +43,11 @@
 		o.Status, _ = strconv.Atoi(kind)
 		o.Stamp = "x"
 	case "notrun":
-		o.Verdict, o.Status = traverse.NotRun, 503
+		o.Verdict, o.Status = upstream.NotRun, 503
 	case "unsent":
-		return traverse.Outcome{Verdict: traverse.Unsent}
+		return upstream.Outcome{Verdict: upstream.Unsent}
 	case "unknown":
-		return traverse.Outcome{Verdict: traverse.Unknown}
+		return upstream.Outcome{Verdict: upstream.Unknown}
 	default:
 		panic(word)
 	}
@@ -67,7 +67,7 @@
 		}
 		*p = NewParty(t, legs)
 	case "go":
-		(*p).Launched(leg(f[1]), &traverse.Peer{})
+		(*p).Launched(leg(f[1]), &upstream.Peer{})
 	case "nobody":
 		(*p).Launched(leg(f[1]), nil)
 	case "group": // group LEGS STAMPS AGAIN ok|bad: "-" stands for a part that is not in
@@ -125,7 +125,7 @@
 }
 
 func TestTraces(t *testing.T) {
-	diary.Play(t, 8, func() func([]string) error {
+	tracetest.Play(t, 8, func() func([]string) error {
 		var p *Party
 		return func(f []string) error { return play(&p, f) }
 	})
--- a/internal/gather/legs_test.go
+++ b/internal/scatter/legs_test.go
@@ -1,4 +1,4 @@
-package gather
+package scatter
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"time"
 
 	"github.com/panjf2000/ants/v2"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/rations"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/upstream"
 )
 
 // BenchmarkLegs gathers from more and more shards on loopback. Its searchers
@@ -41,23 +41,23 @@
 	}()
 	pool, _ := ants.NewPool(4096, ants.WithNonblocking(true))
 	defer pool.Release()
-	rng := traverse.New(traverse.Options{
+	rng := upstream.New(upstream.Options{
 		Distance: func(string) int { return 0 }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 20,
 		KeepIdle: time.Minute, FailsOut: 3, OutFor: time.Second, Many: 5, Forget: time.Second,
 	})
-	t := &hutbook.Table{}
+	t := &endpoints.Table{}
 	for i := range n {
-		t.Searchers = append(t.Searchers, hutbook.Searcher{ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: ln.Addr().String(), Slots: 2, Entry: int64(i)})
+		t.Searchers = append(t.Searchers, endpoints.Searcher{ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: ln.Addr().String(), Slots: 2, Entry: int64(i)})
 	}
 	rng.SetTable(t)
 	born := time.Now()
-	g := &Guide{Range: rng, Ledger: rations.New(rations.Rules{Ratio: 1, Window: time.Second}, 0), Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5}
+	g := &Guide{Range: rng, Ledger: ratelimit.New(ratelimit.Rules{Ratio: 1, Window: time.Second}, 0), Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5}
 	run := func(k int) {
 		var legs []*Leg
 		for i := range n {
 			legs = append(legs, &Leg{Service: fmt.Sprint("s", i)})
 		}
-		req, err := traverse.NewRequest("GET", "/x", []byte(fmt.Sprintf("Host: a\r\nSwiftswitch-Request-Id: r%d\r\n", k)), nil)
+		req, err := upstream.NewRequest("GET", "/x", []byte(fmt.Sprintf("Host: a\r\nSwiftswitch-Request-Id: r%d\r\n", k)), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/gather/merge.go
+++ b/internal/scatter/merge.go
@@ -1,4 +1,4 @@
-package gather
+package scatter
 
 import (
 	"cmp"
--- a/internal/gather/party.go
+++ b/internal/scatter/party.go
@@ -1,7 +1,7 @@
-package gather
+package scatter
 
 import (
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/upstream"
 )
 
 // Terms are what a request may cost and must bring.
@@ -22,11 +22,11 @@
 	Version string
 	Holders []string
 	// Canary, where it is set, is asked once, in place of the first try.
-	Canary *traverse.Among
+	Canary *upstream.Among
 	// Else is asked where nobody of Version can be.
-	Else *traverse.Among
+	Else *upstream.Among
 
-	Tried []*traverse.Peer
+	Tried []*upstream.Peer
 	// Lent: the first try went by way of another front; whom that asked is not known.
 	Lent bool
 	Out  int
@@ -36,20 +36,20 @@
 	Sent bool
 	// MayHaveRun tells whether a try may have run without a usable answer.
 	MayHaveRun bool
-	Good       traverse.Outcome
+	Good       upstream.Outcome
 	// Last is the last answer that is no success.
-	Last traverse.Outcome
+	Last upstream.Outcome
 }
 
 // Among names the searchers that the leg's tries go to.
-func (l *Leg) Among() traverse.Among {
-	return traverse.Among{Service: l.Service, Version: l.Version, Holders: l.Holders}
+func (l *Leg) Among() upstream.Among {
+	return upstream.Among{Service: l.Service, Version: l.Version, Holders: l.Holders}
 }
 
 // Passes tells whether the last answer may be given back as it is: nothing is
 // under way, and no promise that nothing ran is made where something may have.
 func (l *Leg) Passes() bool {
-	return l.Last.Resp != nil && l.Out == 0 && !(l.MayHaveRun && l.Last.Verdict == traverse.NotRun)
+	return l.Last.Resp != nil && l.Out == 0 && !(l.MayHaveRun && l.Last.Verdict == upstream.NotRun)
 }
 
 // Step is what to do next for a leg.
@@ -84,7 +84,7 @@
 func (p *Party) Open() int { return p.open }
 
 // Launched notes that leg i went out to a searcher; nil means that there is none to be had.
-func (p *Party) Launched(i int, peer *traverse.Peer) {
+func (p *Party) Launched(i int, peer *upstream.Peer) {
 	l := p.Legs[i]
 	if peer == nil {
 		p.settle(l)
@@ -105,10 +105,10 @@
 // Hear takes the outcome of a try and says what to do for its leg. kept
 // tells whether the party holds on to the outcome; if not, the caller
 // releases it.
-func (p *Party) Hear(i int, o traverse.Outcome) (next Step, kept bool) {
+func (p *Party) Hear(i int, o upstream.Outcome) (next Step, kept bool) {
 	l := p.Legs[i]
 	l.Out--
-	if o.Verdict != traverse.Unsent {
+	if o.Verdict != upstream.Unsent {
 		l.Sent = true
 	}
 	if l.Done || l.Dead {
@@ -121,14 +121,14 @@
 		p.open--
 		return Wait, true
 	}
-	if o.Verdict == traverse.Answered || o.Verdict == traverse.Unknown {
+	if o.Verdict == upstream.Answered || o.Verdict == upstream.Unknown {
 		l.MayHaveRun = true
 	}
 	if o.Resp != nil && p.mayPass(&o) {
 		l.Last.Release()
 		l.Last, kept = o, true
 	}
-	if o.Verdict == traverse.Answered && o.Status >= 300 && o.Status < 500 && len(p.Legs) == 1 {
+	if o.Verdict == upstream.Answered && o.Status >= 300 && o.Status < 500 && len(p.Legs) == 1 {
 		// The searcher has decided: another would say the same.
 		p.settle(l)
 		return Wait, kept
@@ -144,13 +144,13 @@
 // client. A success without its stamp is no answer of a searcher's. 408, 421,
 // 429 and 503 tell the client that nothing ran: where that must be true, they
 // pass only from a searcher that said so itself.
-func (p *Party) mayPass(o *traverse.Outcome) bool {
+func (p *Party) mayPass(o *upstream.Outcome) bool {
 	if o.Status < 300 {
 		return false
 	}
 	switch o.Status {
 	case 408, 421, 429, 503:
-		return p.Terms.Safe || o.Verdict == traverse.NotRun
+		return p.Terms.Safe || o.Verdict == upstream.NotRun
 	}
 	return true
 }
@@ -191,7 +191,7 @@
 				p.open--
 			}
 			p.stamps[stamps[k]] = true
-			l.Good = traverse.Outcome{Status: 200, Stamp: stamps[k]}
+			l.Good = upstream.Outcome{Status: 200, Stamp: stamps[k]}
 			if first {
 				l.Good.Body, first = records, false
 			}
--- a/internal/gather/run.go
+++ b/internal/scatter/run.go
@@ -1,17 +1,17 @@
-package gather
+package scatter
 
 import (
 	"time"
 
 	"github.com/panjf2000/ants/v2"
-	"swiftswitch/internal/rations"
-	"swiftswitch/internal/traverse"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/upstream"
 )
 
 // Guide carries parties out.
 type Guide struct {
-	Range  *traverse.Range
-	Ledger *rations.Ledger
+	Range  *upstream.Range
+	Ledger *ratelimit.Ledger
 	Pool   *ants.Pool
 	// Steady is the node's steady clock.
 	Steady func() time.Duration
@@ -39,7 +39,7 @@
 
 type heard struct {
 	leg int
-	out traverse.Outcome
+	out upstream.Outcome
 	// group holds the legs of an answer by way of another front.
 	group   []int
 	stamps  []string
@@ -48,7 +48,7 @@
 
 // Run sends the request along every leg and returns when it is over. Tries
 // that lost go on to their end on their own: a searcher at work is not broken off.
-func (g *Guide) Run(p *Party, r *traverse.Request, t Times, across Across) (success bool) {
+func (g *Guide) Run(p *Party, r *upstream.Request, t Times, across Across) (success bool) {
 	n := len(p.Legs)
 	results := make(chan heard, n*p.Terms.Attempts)
 	hedge := make([]time.Time, n)
@@ -124,7 +124,7 @@
 // first chooses whom a leg asks first. A new version on trial is reached
 // directly, however far it is: the front asked for the way across would count
 // it again.
-func (g *Guide) first(l *Leg, target time.Duration) (peer *traverse.Peer, start time.Time, canary bool) {
+func (g *Guide) first(l *Leg, target time.Duration) (peer *upstream.Peer, start time.Time, canary bool) {
 	if l.Canary != nil {
 		if peer, start = g.Range.Choose(*l.Canary, nil, target, false); peer != nil {
 			return peer, start, true
@@ -136,7 +136,7 @@
 
 // choose picks among the leg's searchers, or where none of them can be asked
 // and others may be, among those.
-func (g *Guide) choose(l *Leg, not []*traverse.Peer, target time.Duration, spare bool) (*traverse.Peer, time.Time) {
+func (g *Guide) choose(l *Leg, not []*upstream.Peer, target time.Duration, spare bool) (*upstream.Peer, time.Time) {
 	peer, start := g.Range.Choose(l.Among(), not, target, spare)
 	if peer == nil && l.Else != nil {
 		return g.Range.Choose(*l.Else, not, target, spare)
@@ -161,7 +161,7 @@
 	}
 }
 
-func (g *Guide) hear(p *Party, h heard, r *traverse.Request, t Times, results chan heard) {
+func (g *Guide) hear(p *Party, h heard, r *upstream.Request, t Times, results chan heard) {
 	if h.group != nil {
 		again, _ := p.HearGroup(h.group, h.stamps, h.records)
 		for _, i := range again {
@@ -174,7 +174,7 @@
 		h.out.Release()
 	}
 	if step == Again {
-		g.again(p, h.leg, h.out.Verdict == traverse.NotRun, r, t, results)
+		g.again(p, h.leg, h.out.Verdict == upstream.NotRun, r, t, results)
 	}
 }
 
@@ -182,7 +182,7 @@
 // grants it. As long as nothing went out, the next try is the first. Company
 // for a straggler, and a try after a full searcher, want one that is not full
 // itself: under load they would only add to it.
-func (g *Guide) again(p *Party, i int, spare bool, r *traverse.Request, t Times, results chan heard) {
+func (g *Guide) again(p *Party, i int, spare bool, r *upstream.Request, t Times, results chan heard) {
 	l := p.Legs[i]
 	peer, start := g.choose(l, l.Tried, t.Target, spare)
 	if peer == nil && l.Lent {
@@ -203,7 +203,7 @@
 
 type farLeg struct {
 	leg   int
-	peer  *traverse.Peer
+	peer  *upstream.Peer
 	start time.Time
 }
 
@@ -249,7 +249,7 @@
 // cross sends the legs without a searcher in this zone: as many as possible
 // by way of one front in the zone that holds most of them, the rest directly.
 // It returns the legs that went with the front.
-func (g *Guide) cross(p *Party, far []farLeg, across Across, r *traverse.Request, t Times, results chan heard) []int {
+func (g *Guide) cross(p *Party, far []farLeg, across Across, r *upstream.Request, t Times, results chan heard) []int {
 	var group []int
 	if most := g.mostIn(p, far); most != "" {
 		if call, ok := across.Begin(most); ok {
@@ -288,13 +288,13 @@
 	return group
 }
 
-func (g *Guide) send(p *Party, i int, peer *traverse.Peer, start time.Time, r *traverse.Request, t Times, results chan heard) {
+func (g *Guide) send(p *Party, i int, peer *upstream.Peer, start time.Time, r *upstream.Request, t Times, results chan heard) {
 	p.Launched(i, peer)
 	err := g.Pool.Submit(func() {
 		results <- heard{leg: i, out: g.Range.Try(peer, r, start, t.Until)}
 	})
 	if err != nil {
 		g.Range.Unchoose(peer, start)
-		results <- heard{leg: i, out: traverse.Outcome{Verdict: traverse.Unsent, Peer: peer, Err: err}}
+		results <- heard{leg: i, out: upstream.Outcome{Verdict: upstream.Unsent, Peer: peer, Err: err}}
 	}
 }
--- a/internal/switchback/doc.go
+++ b/internal/shardmap/doc.go
@@ -5,4 +5,4 @@
 // docs/design.md. It is a pure state machine that each front node runs over
 // the same inputs. In the field's terms: blue-green cut-over of a sharded
 // index with leased replica slots.
-package switchback
+package shardmap
--- a/internal/switchback/trace_test.go
+++ b/internal/shardmap/trace_test.go
@@ -1,4 +1,4 @@
-package switchback
+package shardmap
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/diary"
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/tracetest"
 )
 
 // play follows a trace whose lines begin with the time in milliseconds.
-func play(b *Board, table **hutbook.Table, f []string) error {
+func play(b *Board, table **endpoints.Table, f []string) error {
 	ms, err := strconv.Atoi(f[0])
 	if err != nil {
 		return err
@@ -20,7 +20,7 @@
 	now := time.Duration(ms) * time.Millisecond
 	switch f[1] {
 	case "list": // list SHARD[@VERSION]:ID,ID! SHARD:... (! drains, * is cold)
-		var l []hutbook.Searcher
+		var l []endpoints.Searcher
 		for _, g := range f[2:] {
 			shard, ids, _ := strings.Cut(g, ":")
 			shard, version, _ := strings.Cut(shard, "@")
@@ -28,10 +28,10 @@
 				if id == "" {
 					continue
 				}
-				l = append(l, hutbook.Searcher{ID: strings.TrimRight(id, "!*"), Service: shard, Version: version, Drains: strings.HasSuffix(id, "!"), Cold: strings.HasSuffix(id, "*")})
+				l = append(l, endpoints.Searcher{ID: strings.TrimRight(id, "!*"), Service: shard, Version: version, Drains: strings.HasSuffix(id, "!"), Cold: strings.HasSuffix(id, "*")})
 			}
 		}
-		*table, _ = hutbook.Next(*table, l, hutbook.Stamp{Epoch: 1, Seq: int64(ms) + 1})
+		*table, _ = endpoints.Next(*table, l, endpoints.Stamp{Epoch: 1, Seq: int64(ms) + 1})
 		b.Listed(*table, now)
 	case "built": // built VERSION SHARDS AGE at-once|waits
 		v, _ := strconv.ParseInt(f[2], 10, 64)
@@ -90,9 +90,9 @@
 }
 
 func TestTraces(t *testing.T) {
-	diary.Play(t, 7, func() func([]string) error {
+	tracetest.Play(t, 7, func() func([]string) error {
 		b := New(Options{R: 2, Least: 2, Lease: time.Second, Wait: 1200 * time.Millisecond})
-		var table *hutbook.Table
+		var table *endpoints.Table
 		return func(f []string) error { return play(b, &table, f) }
 	})
 }
--- a/internal/cellar/cellar.go
+++ b/internal/storage/cellar.go
@@ -1,4 +1,4 @@
-package cellar
+package storage
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"swiftswitch/internal/logbook"
+	"swiftswitch/internal/events"
 )
 
 const (
@@ -73,7 +73,7 @@
 	}
 	c.mu.Unlock()
 	if first {
-		logbook.Log(logbook.DiskTrouble, "err", err)
+		events.Log(events.DiskTrouble, "err", err)
 		time.AfterFunc(c.again, c.wake)
 	}
 }
@@ -258,7 +258,7 @@
 // the store's name changes: whatever a loss of power then leaves, an empty
 // folder too, is known to have held a store.
 func (c *Cellar) setAside(why error) error {
-	logbook.Log(logbook.DiskUnreadable, "err", why)
+	events.Log(events.DiskUnreadable, "err", why)
 	f, err := c.fs.Create(c.path(markName), vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return err
@@ -354,7 +354,7 @@
 			start := time.Now()
 			err = c.write(batch)
 			if took := time.Since(start); took > c.slow && err == nil {
-				logbook.Log(logbook.DiskTrouble, "waited", took)
+				events.Log(events.DiskTrouble, "waited", took)
 			}
 		}
 		for _, f := range waiting {
@@ -429,7 +429,7 @@
 		}
 	}
 	if err != nil {
-		logbook.Log(logbook.DiskTrouble, "err", err)
+		events.Log(events.DiskTrouble, "err", err)
 	} else {
 		c.db = db
 	}
@@ -441,7 +441,7 @@
 	}
 	c.mu.Unlock()
 	if err == nil {
-		logbook.Log(logbook.DiskBack)
+		events.Log(events.DiskBack)
 	}
 	c.wake()
 }
--- a/internal/cellar/cellar_test.go
+++ b/internal/storage/cellar_test.go
@@ -1,4 +1,4 @@
-package cellar
+package storage
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"swiftswitch/internal/logbook"
+	"swiftswitch/internal/events"
 )
 
 var errNoWord = errors.New("no word of the write")
@@ -27,7 +27,7 @@
 
 // A store that can't go on answers so, comes back by itself and has forgotten nothing.
 func TestBrokenStoreComesBack(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	dir := t.TempDir()
 	c, err := Open(dir, time.Second, 20*time.Millisecond)
 	if err != nil {
@@ -62,7 +62,7 @@
 
 // A store that can't be read is set aside; the node starts as with an empty disk.
 func TestDamagedStoreIsSetAside(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	dir := t.TempDir()
 	c, err := Open(dir, time.Second, time.Second)
 	if err != nil {
@@ -103,7 +103,7 @@
 
 // A loss of power leaves unsynced writes missing or torn: what was answered as written is there.
 func TestTornTail(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	for _, tail := range []string{"", "torn", string(make([]byte, 40_000))} {
 		dir, after := t.TempDir(), t.TempDir()
 		c, err := Open(dir, time.Second, time.Second)
--- a/internal/cellar/disk.go
+++ b/internal/storage/disk.go
@@ -1,4 +1,4 @@
-package cellar
+package storage
 
 import (
 	"errors"
--- a/internal/cellar/doc.go
+++ b/internal/storage/doc.go
@@ -5,4 +5,4 @@
 // of power leaves less than what was answered. A store that can't be read is
 // set aside, which is known from then on.
 // In the field's terms: stable storage with group commit.
-package cellar
+package storage
--- a/internal/cellar/loss_test.go
+++ b/internal/storage/loss_test.go
@@ -1,4 +1,4 @@
-package cellar
+package storage
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"swiftswitch/internal/logbook"
+	"swiftswitch/internal/events"
 )
 
 // shaky is a disk in memory that can lose its power after any change. Each
@@ -168,7 +168,7 @@
 
 // What was answered as written is there after a loss of power at any moment.
 func TestPowerLossKeepsWhatWasAnswered(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	var acked atomic.Int64
 	var n, tried, bad int
@@ -232,7 +232,7 @@
 // A store that was set aside is known of from then on, whatever a loss of
 // power leaves of it: either the records can be read, or it is told.
 func TestPowerLossWhileSettingAside(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	for old := range 2 {
 		mem := vfs.NewCrashableMem()
 		c := openShaky(t, mem)
@@ -326,7 +326,7 @@
 // Whatever can't be read is found at the start and set aside then: a damaged
 // table as well as files that are gone.
 func TestUnreadableFilesAreSetAside(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	for _, part := range []string{"damaged .sst", "gone .sst", "gone MANIFEST-", "gone marker.manifest.", "gone marker.format-version."} {
 		how, which, _ := strings.Cut(part, " ")
 		mem := vfs.NewCrashableMem()
@@ -369,7 +369,7 @@
 
 // A folder that an earlier life made and did not sync lasts from the next start on.
 func TestFolderOfAnEarlierLifeIsSynced(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	for _, made := range []string{"", place, path.Join(place, storeName)} {
 		mem := vfs.NewCrashableMem()
 		if made != "" {
@@ -394,7 +394,7 @@
 // A disk that refuses changes now and then, and loses its power in between,
 // has all that was answered as written.
 func TestPowerLossOnADiskThatRefuses(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	for seed := range uint64(4) {
 		s := newDisk(t)
 		rng, chance := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
--- a/internal/cellar/trouble_test.go
+++ b/internal/storage/trouble_test.go
@@ -1,4 +1,4 @@
-package cellar
+package storage
 
 import (
 	"errors"
@@ -14,13 +14,13 @@
 	"time"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"swiftswitch/internal/logbook"
+	"swiftswitch/internal/events"
 )
 
 // A disk that refuses writes at any moment of any kind of write ends no
 // process, loses nothing that was answered, and the store comes back.
 func TestFullDiskAtAnyChange(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	big := strings.Repeat("x", 90_000)
 	for _, c := range []struct{ op, part string }{
 		{"create", ".log"}, {"reuse", ".log"}, {"write", ".log"}, {"sync", ".log"}, {"create", ".sst"}, {"write", ".sst"}, {"sync", ".sst"},
@@ -84,7 +84,7 @@
 
 // A table that can't be written shows in no commit: the store is opened anew by itself all the same.
 func TestBackgroundTroubleReopensTheStore(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	defer c.Close(time.Second)
@@ -115,7 +115,7 @@
 // A newer record is not overwritten by the older one of a batch that failed,
 // and what failed is written again.
 func TestFailedRecordsAreWrittenAgainInOrder(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	if err := put(t, c, "gone", "1"); err != nil {
@@ -156,7 +156,7 @@
 
 // Each callback is called once: of an empty write, of one that waits when the store is closed, of one after it.
 func TestEveryCallbackIsCalledOnce(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	var mu sync.Mutex
@@ -213,7 +213,7 @@
 
 // A slow disk holds whoever waits for it, and loses nothing.
 func TestSlowDiskAnswersLate(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	s.slow.Store(int64(100 * time.Millisecond))
@@ -232,7 +232,7 @@
 
 // Records can be removed, with others in one batch, and be listed by prefix; an empty one is none removed.
 func TestDeleteAndScan(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	for _, n := range []string{"list/1", "list/2", "list/3", "other"} {
@@ -270,7 +270,7 @@
 
 // The store stays small beside the disk, however often its records are written anew.
 func TestStoreStaysSmall(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	most := int64(0)
@@ -299,7 +299,7 @@
 
 // Nor does it grow by openings that a full disk ends half way.
 func TestFailedOpeningsLeaveNothing(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	for _, op := range []string{"write", "sync", "remove"} {
 		s := newDisk(t)
 		c := openShaky(t, s)
@@ -333,7 +333,7 @@
 
 // A store that becomes unreadable while it is open is set aside, and all of it is written anew from memory.
 func TestStoreDamagedWhileOpenIsWrittenAnew(t *testing.T) {
-	logbook.SetOutput(io.Discard)
+	events.SetOutput(io.Discard)
 	s := newDisk(t)
 	c := openShaky(t, s)
 	for i := range 9 {
--- a/internal/diary/diary.go
+++ b/internal/tracetest/diary.go
@@ -1,6 +1,6 @@
 // Package diary plays recorded traces against state machines in tests: a
 // file of steps, one a line, with comments after '#'.
-package diary
+package tracetest
 
 import (
 	"os"
--- a/internal/rope/conn.go
+++ b/internal/transport/conn.go
@@ -1,4 +1,4 @@
-package rope
+package transport
 
 import (
 	"bytes"
--- a/internal/rope/doc.go
+++ b/internal/transport/doc.go
@@ -3,4 +3,4 @@
 // connection that traverse uses towards searchers, the client with which
 // nodes call each other, and the server settings that all listeners share.
 // In the field's terms: the RPC layer and HTTP transport.
-package rope
+package transport
--- a/internal/rope/server.go
+++ b/internal/transport/server.go
@@ -1,4 +1,4 @@
-package rope
+package transport
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"github.com/cloudwego/hertz/pkg/common/config"
 	"github.com/cloudwego/hertz/pkg/common/hlog"
 	"github.com/cloudwego/hertz/pkg/network/standard"
-	"swiftswitch/internal/logbook"
+	"swiftswitch/internal/events"
 )
 
 func init() { hlog.SetLevel(hlog.LevelFatal) }
@@ -168,7 +168,7 @@
 		if err == nil {
 			return ln, true
 		}
-		logbook.Log(logbook.ListenFailed, "addr", addr, "err", err)
+		events.Log(events.ListenFailed, "addr", addr, "err", err)
 		select {
 		case <-stop:
 			return nil, false
@@ -247,7 +247,7 @@
 // Read parses a node's message; on failure it answers 400 and returns false.
 func Read(c *app.RequestContext, v any) bool {
 	if err := json.Unmarshal(c.Request.Body(), v); err != nil {
-		logbook.Log(logbook.MessageRefused, "path", string(c.Request.Header.RequestURI()), "from", c.RemoteAddr(), "err", err)
+		events.Log(events.MessageRefused, "path", string(c.Request.Header.RequestURI()), "from", c.RemoteAddr(), "err", err)
 		Answer(c, 400, map[string]string{"Error": err.Error()})
 		return false
 	}
--- a/internal/traverse/reach.go
+++ b/internal/upstream/reach.go
@@ -1,4 +1,4 @@
-package traverse
+package upstream
 
 import (
 	"hash/fnv"
--- a/internal/traverse/traverse.go
+++ b/internal/upstream/traverse.go
@@ -1,4 +1,4 @@
-package traverse
+package upstream
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/protocol"
-	"swiftswitch/internal/hutbook"
-	"swiftswitch/internal/logbook"
-	"swiftswitch/internal/rope"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/events"
+	"swiftswitch/internal/transport"
 )
 
 // Options are ratios and bounds; none is tied to a deployment.
@@ -101,13 +101,13 @@
 
 // Peer is one searcher as this node sees it.
 type Peer struct {
-	hutbook.Searcher
+	endpoints.Searcher
 	far int
 	// draw ranks the searchers, differently for every node.
 	draw uint64
 
 	inflight []time.Time
-	idle     []*rope.Conn
+	idle     []*transport.Conn
 
 	ewma   float64
 	sample time.Time
@@ -200,8 +200,8 @@
 }
 
 // SetTable takes the platform's list. Draining searchers get nothing more.
-func (g *Range) SetTable(t *hutbook.Table) {
-	var shut []*rope.Conn
+func (g *Range) SetTable(t *endpoints.Table) {
+	var shut []*transport.Conn
 	g.mu.Lock()
 	seen := map[string]bool{}
 	services := map[string][]*Peer{}
@@ -435,7 +435,7 @@
 // connection takes the idle connection that has rested longest: whatever a
 // searcher sent too much has had the time to come and be noticed. One that has
 // rested for less than settle stays where it is.
-func (g *Range) connection(p *Peer, now time.Time, settle time.Duration) *rope.Conn {
+func (g *Range) connection(p *Peer, now time.Time, settle time.Duration) *transport.Conn {
 	for {
 		g.mu.Lock()
 		if len(p.idle) == 0 || now.Sub(p.idle[0].IdleSince) < settle {
@@ -466,7 +466,7 @@
 	for _, c := range shut {
 		c.Close()
 	}
-	logbook.Log(logbook.SearcherGarbles, "searcher", p.ID)
+	events.Log(events.SearcherGarbles, "searcher", p.ID)
 }
 
 // Try sends the request to a chosen searcher and waits for its answer until
@@ -495,7 +495,7 @@
 	fresh := c == nil
 	if fresh {
 		var err error
-		if c, err = rope.Dial(p.Addr, min(left, g.opt.DialWithin), g.opt.UserTimeout); err != nil {
+		if c, err = transport.Dial(p.Addr, min(left, g.opt.DialWithin), g.opt.UserTimeout); err != nil {
 			return Outcome{Verdict: Unsent, Err: err}
 		}
 		left = time.Until(deadline)
@@ -504,7 +504,7 @@
 	began := time.Now()
 	sent, err := c.Exchange(r.bytesFor(p.ID, int64(left/time.Millisecond)), deadline, r.Method == "HEAD", g.opt.MaxBody, out)
 	if err == nil && !belongs(out, r.ID) {
-		err = rope.ErrSurplus
+		err = transport.ErrSurplus
 	}
 	if err != nil {
 		c.Close()
@@ -512,7 +512,7 @@
 		if !sent {
 			return Outcome{Verdict: Unsent, Err: err}
 		}
-		logbook.Log(logbook.AnswerBroken, "searcher", p.ID, "err", err)
+		events.Log(events.AnswerBroken, "searcher", p.ID, "err", err)
 		return Outcome{Verdict: Unknown, Err: err, Took: time.Since(began), shut: fresh && ended(err)}
 	}
 	o := Outcome{Verdict: Answered, Status: out.StatusCode(), Stamp: string(out.Header.Peek(HeaderStamp)), Resp: out, Took: time.Since(began)}
@@ -575,7 +575,7 @@
 }
 
 // rest puts a connection aside for the next request.
-func (g *Range) rest(p *Peer, c *rope.Conn, out *protocol.Response) {
+func (g *Range) rest(p *Peer, c *transport.Conn, out *protocol.Response) {
 	c.IdleSince, c.IdleFor = time.Now(), g.opt.KeepIdle
 	if ka := string(out.Header.Peek("Keep-Alive")); ka != "" {
 		for _, part := range strings.Split(ka, ",") {
@@ -608,7 +608,7 @@
 	switch {
 	case o.Verdict == Answered || o.Verdict == NotRun && o.Status != 421:
 		if p.fails >= g.opt.FailsOut {
-			logbook.Log(logbook.SearcherBack, "searcher", p.ID)
+			events.Log(events.SearcherBack, "searcher", p.ID)
 		}
 		p.fails, p.outs, p.outUntil = 0, 0, time.Time{}
 		if o.Verdict == Answered {
@@ -648,7 +648,7 @@
 			if !now.Before(p.outUntil) {
 				p.outs = min(p.outs+1, 3)
 				p.outUntil = now.Add(g.opt.OutFor << (p.outs - 1))
-				logbook.Log(logbook.SearcherOut, "searcher", p.ID, "err", o.Err)
+				events.Log(events.SearcherOut, "searcher", p.ID, "err", o.Err)
 			}
 		}
 	}
@@ -687,7 +687,7 @@
 // Sweep closes connections that have rested too long, and those beyond what
 // this node may have.
 func (g *Range) Sweep(now time.Time) {
-	var shut []*rope.Conn
+	var shut []*transport.Conn
 	g.mu.Lock()
 	for _, p := range g.peers {
 		if len(p.idle) == 0 {
--- a/internal/traverse/traverse_test.go
+++ b/internal/upstream/traverse_test.go
@@ -1,11 +1,11 @@
-package traverse
+package upstream
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"swiftswitch/internal/hutbook"
+	"swiftswitch/internal/endpoints"
 )
 
 const lines = "Host: a.example\r\nSwiftswitch-Request-Id: r1\r\n"
@@ -64,10 +64,10 @@
 		}
 		return 2
 	}, Many: 5, FailsOut: 3, OutFor: time.Second, FarPenalty: 0.15, Forget: 3 * time.Second})
-	tab, _ := hutbook.Next(nil, []hutbook.Searcher{
+	tab, _ := endpoints.Next(nil, []endpoints.Searcher{
 		{ID: "a", Service: "s", Zone: "near", Slots: 2}, {ID: "b", Service: "s", Zone: "far", Slots: 2},
 		{ID: "d", Service: "s", Zone: "near", Slots: 2, Drains: true}, {ID: "o", Service: "other", Zone: "near"},
-	}, hutbook.Stamp{Epoch: 1})
+	}, endpoints.Stamp{Epoch: 1})
 	g.SetTable(tab)
 	target := 100 * time.Millisecond
 	p, start := g.Choose(Among{Service: "s"}, nil, target, false)
