--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -9,29 +9,29 @@
 	"swiftswitch/internal/events"
 )
 
-// pause backs off for a random part of the time for an acknowledgement.
-func (h *hut) pause(try int) {
+// backOff backs off for a random part of the time for an acknowledgement.
+func (h *ControlServer) backOff(try int) {
 	most := 0.008 * float64(min(try+1, 6))
-	time.Sleep(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
+	time.Sleep(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
 }
 
-// round runs one ballot on the slot after base, the state that own was made
+// propose runs one ballot on the slot after base, the state that own was made
 // for: had this node moved on in the meantime, own would rest on something
 // that is no longer so. It returns true when the node's state is a later one
 // in the end, whoever's value it was.
-func (h *hut) round(base consensus.State, own *consensus.Value) bool {
-	return h.roundBy(base, own, time.Time{})
+func (h *ControlServer) propose(base consensus.State, own *consensus.Value) bool {
+	return h.proposeUntil(base, own, time.Time{})
 }
 
-// roundBy is a round that proposes nothing of its own once until is past,
+// proposeUntil is a round that proposes nothing of its own once until is past,
 // whatever this node was held up by since it asked for promises.
-func (h *hut) roundBy(base consensus.State, own *consensus.Value, until time.Time) bool {
+func (h *ControlServer) proposeUntil(base consensus.State, own *consensus.Value, until time.Time) bool {
 	var b consensus.Ballot
 	moved := false
-	h.desk.ask(func() {
-		moved = h.acc.State.Slot != base.Slot
-		h.highest++
-		b = consensus.Ballot{N: h.highest, By: h.acc.ID, Life: h.life}
+	h.loop.Call(func() {
+		moved = h.acceptor.State.Slot != base.Slot
+		h.highestRound++
+		b = consensus.Ballot{N: h.highestRound, By: h.acceptor.ID, Life: h.incarnation}
 	})
 	if moved {
 		return true
@@ -42,14 +42,14 @@
 			p.Stage = consensus.Outbid
 			break
 		}
-		stage, m := p.Stage, cairnAsk{Ask: p.Ask()}
+		stage, m := p.Stage, ConsensusRequest{Ask: p.Ask()}
 		if v := m.Value; v != nil && v.Body != "" {
-			packed, err := packOn(base.Body, v.Body)
+			packed, err := PackDelta(base.Body, v.Body)
 			if err != nil {
 				events.Log(events.InvariantBroken, "pack", err)
 				panic(err)
 			}
-			m.Value, m.Packed = bare(v, packed), packed
+			m.Value, m.Packed = withoutBody(v, packed), packed
 		}
 		type heard struct {
 			say consensus.Say
@@ -59,14 +59,14 @@
 		for _, v := range base.Voters {
 			go func() {
 				var x heard
-				var say cairnSay
-				if v.IP == h.n.set().IpAddress {
-					say, x.err = h.vote(m)
+				var say ConsensusResponse
+				if v.IP == h.host.set().IpAddress {
+					say, x.err = h.handleConsensus(m)
 				} else {
-					x.err = h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathCairn, m, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.host.call.Ask(h.host.set().RopeAddr(v.IP), PathConsensus, m, &say, config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
-					x.say, x.err = h.hears(base, say)
+					x.say, x.err = h.unpackResponse(base, say)
 				}
 				in <- x
 			}()
@@ -85,84 +85,84 @@
 	switch p.Stage {
 	case consensus.Chosen:
 		s := base.Apply(p.Value)
-		h.desk.ask(func() { h.learn(s, "proposed") })
-		h.tell(b, s)
+		h.loop.Call(func() { h.learn(s, "proposed") })
+		h.disseminate(b, s)
 		return true
 	case consensus.Behind:
-		h.desk.ask(func() { h.learn(*p.Newer, "told") })
+		h.loop.Call(func() { h.learn(*p.Newer, "told") })
 		return true
 	}
-	h.desk.ask(func() { h.highest = max(h.highest, p.Higher.N) })
+	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.Higher.N) })
 	events.Log(events.ProposalLost, "slot", base.Slot+1, "ballot", b.N)
 	return false
 }
 
-// finishLoop brings to an end what this voter accepted and hears no more of:
+// finishAcceptedLoop brings to an end what this voter accepted and hears no more of:
 // its proposer may be gone, and until the slot is decided a change of voters
 // may be in force that nobody knows, or still come into force late.
-func (h *hut) finishLoop() {
+func (h *ControlServer) finishAcceptedLoop() {
 	var seen consensus.Ballot
 	for {
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
-		case <-time.After(time.Duration(float64(h.n.heartbeat(0.4)) * (0.75 + rand.Float64()/2))):
+		case <-time.After(time.Duration(float64(h.host.heartbeat(0.4)) * (0.75 + rand.Float64()/2))):
 		}
 		var s consensus.State
 		var now consensus.Ballot
-		h.desk.ask(func() { s, now = h.acc.State, h.acc.Accepted })
-		if now != (consensus.Ballot{}) && now == seen && !h.apart() && h.proposing.TryLock() {
-			done := h.round(s, nil)
-			h.proposing.Unlock()
+		h.loop.Call(func() { s, now = h.acceptor.State, h.acceptor.Accepted })
+		if now != (consensus.Ballot{}) && now == seen && !h.isolated() && h.proposalLock.TryLock() {
+			done := h.propose(s, nil)
+			h.proposalLock.Unlock()
 			events.Log(events.Finished, "slot", s.Slot+1, "done", done)
 		}
 		seen = now
 	}
 }
 
-// tell spreads a decided slot to the other huts.
-func (h *hut) tell(b consensus.Ballot, s consensus.State) {
+// disseminate spreads a decided slot to the other huts.
+func (h *ControlServer) disseminate(b consensus.Ballot, s consensus.State) {
 	var to []string
-	h.desk.ask(func() { to = h.peers() })
+	h.loop.Call(func() { to = h.peerIPs() })
 	for _, ip := range to {
 		go func() {
-			var say learnSay
-			addr := h.n.set().RopeAddr(ip)
-			err := h.n.call.Ask(addr, pathLearn, learnAsk{Slot: s.Slot, Ballot: b}, &say, h.n.heartbeat(1))
+			var say LearnResponse
+			addr := h.host.set().RopeAddr(ip)
+			err := h.host.call.Ask(addr, PathLearn, LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.heartbeat(1))
 			if err == nil && say.Slot < s.Slot {
-				say.Slot = h.teach(ip, say.Slot, h.n.heartbeat(1))
+				say.Slot = h.sendState(ip, say.Slot, h.host.heartbeat(1))
 			}
 			if err == nil && say.Slot >= 0 {
-				h.desk.post(func() { h.depot.Confirm(ip, say.Slot) })
+				h.loop.Submit(func() { h.handoff.Confirm(ip, say.Slot) })
 			}
 			if err != nil || say.Slot < s.Slot {
-				h.chase(ip, s)
+				h.resendState(ip, s)
 			}
 		}()
 	}
 }
 
-// readAge, a part of AcknowledgeMs, bounds how long ago the majority that a
+// maxReadQuorumAge, a part of AcknowledgeMs, bounds how long ago the majority that a
 // read rests on was asked.
-const readAge = 0.25
+const maxReadQuorumAge = 0.25
 
-// read gives the newest decided state: a majority of the voters knows of no
+// readQuorum gives the newest decided state: a majority of the voters knows of no
 // later slot and has begun none. What was begun is finished first.
-func (h *hut) read(within time.Duration) (consensus.State, bool) {
+func (h *ControlServer) readQuorum(within time.Duration) (consensus.State, bool) {
 	until := time.Now().Add(within)
 	for try := 0; ; try++ {
-		began := h.n.steady()
-		s := h.state()
-		if h.apart() {
+		began := h.host.steady()
+		s := h.State()
+		if h.isolated() {
 			return s, false
 		}
-		in := make(chan *peekSay, len(s.Voters))
+		in := make(chan *PeekResponse, len(s.Voters))
 		for _, v := range s.Voters {
 			go func() {
-				var say peekSay
-				if v.IP == h.n.set().IpAddress {
-					h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
-				} else if h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathPeek, struct{}{}, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
+				var say PeekResponse
+				if v.IP == h.host.set().IpAddress {
+					h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
+				} else if h.host.call.Ask(h.host.set().RopeAddr(v.IP), PathPeek, struct{}{}, &say, config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
@@ -182,14 +182,14 @@
 		if known >= len(s.Voters)/2+1 && known > 0 {
 			// Whatever froze this node since it asked, the answer rests on a
 			// majority's word that is no older than this.
-			if !begun && !ahead && h.n.steady()-began < config.Ms(h.n.set().Bounds.AcknowledgeMs, readAge) {
+			if !begun && !ahead && h.host.steady()-began < config.Ms(h.host.set().Bounds.AcknowledgeMs, maxReadQuorumAge) {
 				return s, true
 			}
-			h.round(s, nil)
+			h.propose(s, nil)
 		}
 		if time.Now().After(until) {
 			return s, false
 		}
-		h.pause(try)
+		h.backOff(try)
 	}
 }
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -16,29 +16,29 @@
 // what they add to one that the other holds: all who may vote on a slot hold
 // the one in force before it.
 
-// cairnAsk is an Ask; Packed holds the body of its value.
-type cairnAsk struct {
+// ConsensusRequest is an Ask; Packed holds the body of its value.
+type ConsensusRequest struct {
 	consensus.Ask
 	Packed []byte `json:",omitempty"`
 }
 
-// cairnSay is a Say; Packed holds the body of its value, News stand for Ahead.
-type cairnSay struct {
+// ConsensusResponse is a Say; Packed holds the body of its value, News stand for Ahead.
+type ConsensusResponse struct {
 	consensus.Say
-	Packed []byte `json:",omitempty"`
-	News   *news  `json:",omitempty"`
+	Packed []byte      `json:",omitempty"`
+	News   *StateDelta `json:",omitempty"`
 }
 
-// news are cairn.News whose body is packed on top of that of version Base.
-type news struct {
+// StateDelta are cairn.News whose body is packed on top of that of version Base.
+type StateDelta struct {
 	consensus.News
 	Base   int64  `json:",omitempty"`
 	Packed []byte `json:",omitempty"`
 }
 
-// bare gives a value without its body, for the wire and the disk, where that
+// withoutBody gives a value without its body, for the wire and the disk, where that
 // goes packed beside it.
-func bare(v *consensus.Value, packed []byte) *consensus.Value {
+func withoutBody(v *consensus.Value, packed []byte) *consensus.Value {
 	if v == nil || packed == nil {
 		return v
 	}
@@ -47,58 +47,58 @@
 	return &b
 }
 
-// vote lets the acceptor answer. What the answer rests on is on disk before
+// handleConsensus lets the acceptor answer. What the answer rests on is on disk before
 // it leaves, whoever wrote it and however often that was refused.
-func (h *hut) vote(m cairnAsk) (say cairnSay, err error) {
+func (h *ControlServer) handleConsensus(m ConsensusRequest) (say ConsensusResponse, err error) {
 	done := make(chan error, 1)
-	h.desk.ask(func() {
-		if v := m.Value; v != nil && v.Body == "" && m.Packed != nil && m.Slot == h.acc.State.Slot+1 {
+	h.loop.Call(func() {
+		if v := m.Value; v != nil && v.Body == "" && m.Packed != nil && m.Slot == h.acceptor.State.Slot+1 {
 			whole := *v
-			if whole.Body, err = unpackOn(h.acc.State.Body, m.Packed, h.n.maxMessage()); err != nil {
+			if whole.Body, err = UnpackDelta(h.acceptor.State.Body, m.Packed, h.host.maxMessage()); err != nil {
 				done <- err
 				return
 			}
 			m.Value = &whole
 		}
-		was := h.acc.Accepted
+		was := h.acceptor.Accepted
 		var needs int64
-		say.Say, needs = h.acc.Vote(m.Ask)
-		h.highest = max(h.highest, m.Ballot.N, h.acc.Promised.N)
-		if h.acc.Accepted != was {
+		say.Say, needs = h.acceptor.Vote(m.Ask)
+		h.highestRound = max(h.highestRound, m.Ballot.N, h.acceptor.Promised.N)
+		if h.acceptor.Accepted != was {
 			h.packedValue = m.Packed
 		}
 		if say.Value != nil {
-			say.Value, say.Packed = bare(say.Value, h.packedValue), h.packedValue
+			say.Value, say.Packed = withoutBody(say.Value, h.packedValue), h.packedValue
 		}
 		if say.Ahead != nil {
-			say.Ahead, say.News = nil, h.news(m.Slot-1)
+			say.Ahead, say.News = nil, h.stateDelta(m.Slot-1)
 		}
-		if h.acc.Kept(needs) {
+		if h.acceptor.Kept(needs) {
 			done <- nil
 			return
 		}
-		b, mark := h.acc.Ballots()
-		b.Value = bare(b.Value, h.packedValue)
-		h.record(recBallot, ballotRecord{b, h.packedValue}, func(e error) {
+		b, mark := h.acceptor.Ballots()
+		b.Value = withoutBody(b.Value, h.packedValue)
+		h.writeRecord(recordBallot, BallotRecord{b, h.packedValue}, func(e error) {
 			if e == nil {
-				h.desk.post(func() { h.acc.Synced(mark) })
+				h.loop.Submit(func() { h.acceptor.Synced(mark) })
 			}
 			done <- e
 		})
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.5)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
 }
 
-// hears opens a reply to a ballot on base: what was packed for the wire is
+// unpackResponse opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
-func (h *hut) hears(base consensus.State, say cairnSay) (consensus.Say, error) {
+func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Say, error) {
 	if say.Value != nil && say.Packed != nil {
-		body, err := unpackOn(base.Body, say.Packed, h.n.maxMessage())
+		body, err := UnpackDelta(base.Body, say.Packed, h.host.maxMessage())
 		if err != nil {
 			return say.Say, err
 		}
@@ -107,7 +107,7 @@
 		say.Value = &whole
 	}
 	if say.News != nil {
-		n, err := say.News.open(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.n.maxMessage())
+		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.maxMessage())
 		if err != nil {
 			return say.Say, err
 		}
@@ -118,42 +118,42 @@
 	return say.Say, nil
 }
 
-// news gives what a node at slot from lacks, packed once for all who are
+// stateDelta gives what a node at slot from lacks, packed once for all who are
 // there; it runs on the desk.
-func (h *hut) news(from int64) *news {
-	if n, ok := h.told[from]; ok {
+func (h *ControlServer) stateDelta(from int64) *StateDelta {
+	if n, ok := h.stateDeltas[from]; ok {
 		return n
 	}
-	s := h.acc.State
-	n := &news{News: s.Since(from)}
+	s := h.acceptor.State
+	n := &StateDelta{News: s.Since(from)}
 	if n.Body != "" {
 		base := ""
 		if v := s.VersionAt(from); v > 0 {
-			for _, b := range h.bodies {
+			for _, b := range h.pastBodies {
 				if b.Version == v {
 					base, n.Base = b.Body, v
 				}
 			}
 		}
-		packed, err := packOn(base, n.Body)
+		packed, err := PackDelta(base, n.Body)
 		if err != nil {
 			events.Log(events.InvariantBroken, "pack", err)
 			panic(err)
 		}
 		n.Body, n.Packed = "", packed
 	}
-	if len(h.told) >= toldKept {
-		clear(h.told)
+	if len(h.stateDeltas) >= maxStateDeltas {
+		clear(h.stateDeltas)
 	}
-	h.told[from] = n
+	h.stateDeltas[from] = n
 	return n
 }
 
-// toldKept bounds for how many slots news are kept packed.
-const toldKept = 16
+// maxStateDeltas bounds for how many slots news are kept packed.
+const maxStateDeltas = 16
 
-// open gives the news whole; body finds that of a version.
-func (n *news) open(body func(int64) (string, bool), most int) (consensus.News, error) {
+// unpack gives the news whole; body finds that of a version.
+func (n *StateDelta) unpack(body func(int64) (string, bool), most int) (consensus.News, error) {
 	whole := n.News
 	if n.Packed == nil {
 		return whole, nil
@@ -165,38 +165,38 @@
 		}
 	}
 	var err error
-	whole.Body, err = unpackOn(base, n.Packed, most)
+	whole.Body, err = UnpackDelta(base, n.Packed, most)
 	return whole, err
 }
 
-// takeNews learns from another hut and tells whether the news fitted; it runs on the desk.
-func (h *hut) takeNews(n *news, how string) bool {
-	if n.Slot <= h.acc.State.Slot && len(h.acc.State.Voters) > 0 {
+// applyStateDelta learns from another hut and tells whether the news fitted; it runs on the desk.
+func (h *ControlServer) applyStateDelta(n *StateDelta, how string) bool {
+	if n.Slot <= h.acceptor.State.Slot && len(h.acceptor.State.Voters) > 0 {
 		return true
 	}
-	whole, err := n.open(func(v int64) (string, bool) {
-		if v == h.acc.State.Version {
-			return h.acc.State.Body, true
+	whole, err := n.unpack(func(v int64) (string, bool) {
+		if v == h.acceptor.State.Version {
+			return h.acceptor.State.Body, true
 		}
-		at := slices.IndexFunc(h.bodies, func(b bodyRecord) bool { return b.Version == v })
+		at := slices.IndexFunc(h.pastBodies, func(b BodyRecord) bool { return b.Version == v })
 		if at < 0 {
 			return "", false
 		}
-		return h.bodies[at].Body, true
-	}, h.n.maxMessage())
+		return h.pastBodies[at].Body, true
+	}, h.host.maxMessage())
 	if err != nil {
 		events.Log(events.MessageRefused, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
 		return false
 	}
-	s, ok := h.acc.State.Follow(whole)
+	s, ok := h.acceptor.State.Follow(whole)
 	if !ok {
 		return false
 	}
-	if len(h.acc.State.Voters) == 0 && s.Slot == 0 {
+	if len(h.acceptor.State.Voters) == 0 && s.Slot == 0 {
 		// The state before the first slot: nothing was decided yet.
-		h.acc.State = s
-		h.setOrder()
-		h.keepState()
+		h.acceptor.State = s
+		h.applyVoters()
+		h.persistState()
 		return true
 	}
 	h.learn(s, how)
@@ -205,33 +205,33 @@
 
 // handleLearn takes word of a decided slot. The answer names the slot up to
 // which this node has it all on disk.
-func (h *hut) handleLearn(c *app.RequestContext, m learnAsk) {
-	h.desk.ask(func() {
+func (h *ControlServer) handleLearn(c *app.RequestContext, m LearnRequest) {
+	h.loop.Call(func() {
 		if m.News != nil {
-			h.takeNews(m.News, "told")
-		} else if m.Slot == h.acc.State.Slot+1 && h.acc.Value != nil && h.acc.Accepted == m.Ballot {
-			h.learn(h.acc.State.Apply(*h.acc.Value), "accepted")
+			h.applyStateDelta(m.News, "told")
+		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.Value != nil && h.acceptor.Accepted == m.Ballot {
+			h.learn(h.acceptor.State.Apply(*h.acceptor.Value), "accepted")
 		}
 	})
-	transport.Answer(c, 200, learnSay{h.kept()})
+	transport.Answer(c, 200, LearnResponse{h.waitDurable()})
 }
 
-// teach brings another hut up to what this one knows, and gives the slot up
+// sendState brings another hut up to what this one knows, and gives the slot up
 // to which the other has it on disk then, below 0 where it did not answer.
 // held is the slot that the other is known to hold.
-func (h *hut) teach(ip string, held int64, within time.Duration) int64 {
+func (h *ControlServer) sendState(ip string, held int64, within time.Duration) int64 {
 	until := time.Now().Add(within)
 	for _, from := range []int64{held, consensus.Nothing} {
-		var m learnAsk
-		h.desk.ask(func() {
-			m = learnAsk{Slot: h.acc.State.Slot}
+		var m LearnRequest
+		h.loop.Call(func() {
+			m = LearnRequest{Slot: h.acceptor.State.Slot}
 			if from > m.Slot {
 				from = m.Slot
 			}
-			m.News = h.news(from)
+			m.News = h.stateDelta(from)
 		})
-		var say learnSay
-		if h.n.call.Ask(h.n.set().RopeAddr(ip), pathLearn, m, &say, time.Until(until)) != nil {
+		var say LearnResponse
+		if h.host.call.Ask(h.host.set().RopeAddr(ip), PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
 		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -11,113 +11,113 @@
 
 // Signs of life between huts, and what is handed over on them.
 
-type hutSeen struct {
+type peerState struct {
 	id      string
-	at      time.Duration
+	heardAt time.Duration
 	leaving bool
 	zone    string
 	slot    int64
 }
 
-// beat is this node's sign of life; it runs on the desk.
-func (h *hut) beat() beat {
-	b := beat{ID: h.acc.ID, IP: h.n.set().IpAddress, Slot: h.acc.State.Slot, Kept: h.acc.StateKept(), Epoch: h.duty.Epoch, Holder: h.duty.Holder, Zone: h.n.set().Zone, Leaving: h.n.leaving.Load()}
-	b.Unfit = !h.duty.Fit(h.n.steady())
-	b.Fronts = h.counted
-	b.Roll = h.roll().Roll
-	b.Spent = h.course.clock.Note(h.runs, time.Now(), h.n.steady()).Spent
+// heartbeat is this node's sign of life; it runs on the desk.
+func (h *ControlServer) heartbeat() Heartbeat {
+	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.set().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.StateKept(), Epoch: h.pollLease.Epoch, Holder: h.pollLease.Holder, Zone: h.host.set().Zone, Leaving: h.host.leaving.Load()}
+	b.Unfit = !h.pollLease.Fit(h.host.steady())
+	b.Fronts = h.frontCount
+	b.Roll = h.frontRoster().Roll
+	b.Spent = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.steady()).Spent
 	if h.table != nil {
 		b.Stamp = h.table.Stamp
 	}
 	return b
 }
 
-// hear takes another hut's sign of life; it runs on the desk.
-func (h *hut) hear(b beat) {
-	now := h.n.steady()
-	h.others[b.IP] = hutSeen{b.ID, now, b.Leaving, b.Zone, b.Slot}
-	h.watch.Hear(b.ID, now)
-	h.hearFronts(b.Fronts, now)
-	h.duty.Hear(b.ID, !b.Leaving && !b.Unfit, now)
-	h.duty.See(b.Epoch, b.Holder)
+// onHeartbeat takes another hut's sign of life; it runs on the desk.
+func (h *ControlServer) onHeartbeat(b Heartbeat) {
+	now := h.host.steady()
+	h.peers[b.IP] = peerState{b.ID, now, b.Leaving, b.Zone, b.Slot}
+	h.detector.Hear(b.ID, now)
+	h.onFrontCount(b.Fronts, now)
+	h.pollLease.Hear(b.ID, !b.Leaving && !b.Unfit, now)
+	h.pollLease.See(b.Epoch, b.Holder)
 	for order, ms := range b.Spent {
-		if h.runs(order) {
-			h.course.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
+		if h.rolloutRunning(order) {
+			h.rollouts.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
 		}
 	}
-	if r := h.rolls[b.IP]; r.Roll != b.Roll && !r.asking {
-		r.asking = true
-		h.rolls[b.IP] = r
-		go h.askRoll(b.IP)
+	if r := h.peerRosters[b.IP]; r.Roll != b.Roll && !r.fetching {
+		r.fetching = true
+		h.peerRosters[b.IP] = r
+		go h.fetchRoster(b.IP)
 	}
-	h.depot.Confirm(b.IP, b.Kept)
-	if b.Slot < h.acc.State.Slot && h.depot.Owed(b.IP, h.acc.State.Slot) {
-		h.depot.Start(b.IP)
-		go h.handOver(b.IP, b.Slot)
+	h.handoff.Confirm(b.IP, b.Kept)
+	if b.Slot < h.acceptor.State.Slot && h.handoff.Owed(b.IP, h.acceptor.State.Slot) {
+		h.handoff.Start(b.IP)
+		go h.handOff(b.IP, b.Slot)
 	}
 	if t := h.table; t != nil && b.Stamp.Less(t.Stamp) {
-		h.bring(b.IP, b.Stamp)
+		h.sendTable(b.IP, b.Stamp)
 	}
 }
 
-// handOver gives a node what it missed.
-func (h *hut) handOver(ip string, slot int64) {
-	held := h.teach(ip, slot, h.n.heartbeat(1))
-	h.desk.post(func() { h.depot.End(ip, held) })
+// handOff gives a node what it missed.
+func (h *ControlServer) handOff(ip string, slot int64) {
+	held := h.sendState(ip, slot, h.host.heartbeat(1))
+	h.loop.Submit(func() { h.handoff.End(ip, held) })
 }
 
-// peers lists the other huts to beat to; it runs on the desk.
-func (h *hut) peers() []string {
-	self := h.n.set().IpAddress
+// peerIPs lists the other huts to beat to; it runs on the desk.
+func (h *ControlServer) peerIPs() []string {
+	self := h.host.set().IpAddress
 	var out []string
 	add := func(ip string) {
 		if ip != self && ip != "" && !slices.Contains(out, ip) {
 			out = append(out, ip)
 		}
 	}
-	for _, v := range h.acc.State.Voters {
+	for _, v := range h.acceptor.State.Voters {
 		add(v.IP)
 	}
-	now := h.n.steady()
-	for ip, o := range h.others {
-		if now-o.at < config.Ms(h.n.set().Bounds.InTouchMs, 1) {
+	now := h.host.steady()
+	for ip, o := range h.peers {
+		if now-o.heardAt < config.Ms(h.host.set().Bounds.InTouchMs, 1) {
 			add(ip)
 		} else if !slices.Contains(out, ip) {
-			delete(h.others, ip)
-			delete(h.rolls, ip)
-			h.depot.Forget(ip)
+			delete(h.peers, ip)
+			delete(h.peerRosters, ip)
+			h.handoff.Forget(ip)
 		}
 	}
 	return out
 }
 
-func (h *hut) beatLoop() {
+func (h *ControlServer) heartbeatLoop() {
 	for {
-		h.desk.ask(h.tick)
-		h.beatAll()
+		h.loop.Call(h.detectorTick)
+		h.sendHeartbeats()
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
-		case <-time.After(h.n.heartbeat(0.4)):
+		case <-time.After(h.host.heartbeat(0.4)):
 		}
 	}
 }
 
-func (h *hut) beatAll() {
+func (h *ControlServer) sendHeartbeats() {
 	var out []string
-	var b beat
+	var b Heartbeat
 	var bid lease.Bid
 	var sent time.Duration
 	known := 0
-	h.desk.ask(func() {
-		sent = h.n.steady()
-		b = h.beat()
-		bid, b.Renews = h.renewals(sent)
-		for _, ip := range h.peers() {
+	h.loop.Call(func() {
+		sent = h.host.steady()
+		b = h.heartbeat()
+		bid, b.Renews = h.leaseRenewals(sent)
+		for _, ip := range h.peerIPs() {
 			// A beat's answer is one as well: of two that hear each other, one
 			// sends. A holder sends to all voters, as its renewals go along.
-			o, ok := h.others[ip]
-			if ok && sent-o.at < h.n.heartbeat(0.6) && !b.Leaving && !h.sends(b, ip, o) {
+			o, ok := h.peers[ip]
+			if ok && sent-o.heardAt < h.host.heartbeat(0.6) && !b.Leaving && !h.initiatesHeartbeat(b, ip, o) {
 				known++
 				continue
 			}
@@ -125,49 +125,49 @@
 		}
 	})
 	if len(out)+known == 0 {
-		out = slices.DeleteFunc(h.n.huts(), func(ip string) bool { return ip == h.n.set().IpAddress })
+		out = slices.DeleteFunc(h.host.huts(), func(ip string) bool { return ip == h.host.set().IpAddress })
 	}
 	for _, ip := range out {
 		go func() {
-			var say beat
-			if err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathBeat, b, &say, h.n.heartbeat(0.8)); err == nil {
-				h.desk.post(func() {
-					h.hear(say)
-					h.renewed(bid, say, sent)
+			var say Heartbeat
+			if err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathHeartbeat, b, &say, h.host.heartbeat(0.8)); err == nil {
+				h.loop.Submit(func() {
+					h.onHeartbeat(say)
+					h.onRenewals(bid, say, sent)
 				})
-				h.n.view.post(func() { h.n.way.Add(peersampling.Node{Name: say.ID, IP: say.IP, Hut: true}) })
+				h.host.view.Submit(func() { h.host.way.Add(peersampling.Node{Name: say.ID, IP: say.IP, Hut: true}) })
 			}
 		}()
 	}
 }
 
-// sends tells whether of this node and another that hear each other this one
+// initiatesHeartbeat tells whether of this node and another that hear each other this one
 // sends the beats; it runs on the desk.
-func (h *hut) sends(b beat, ip string, o hutSeen) bool {
+func (h *ControlServer) initiatesHeartbeat(b Heartbeat, ip string, o peerState) bool {
 	switch {
-	case b.Renews != nil && h.acc.State.Votes(o.id):
+	case b.Renews != nil && h.acceptor.State.Votes(o.id):
 		return true
-	case o.id == h.duty.Holder && h.acc.State.Votes(h.acc.ID):
+	case o.id == h.pollLease.Holder && h.acceptor.State.Votes(h.acceptor.ID):
 		return false
 	}
 	return b.IP <= ip
 }
 
-// lone tells whether this hut has not heard a majority of the voters lately;
+// lacksMajority tells whether this hut has not heard a majority of the voters lately;
 // it runs on the desk.
-func (h *hut) lone(now time.Duration) bool {
+func (h *ControlServer) lacksMajority(now time.Duration) bool {
 	heard := 0
-	for _, v := range h.acc.State.Voters {
-		if v.ID == h.acc.ID || h.duty.Silent(v.ID, now) < h.n.heartbeat(2) {
+	for _, v := range h.acceptor.State.Voters {
+		if v.ID == h.acceptor.ID || h.pollLease.Silent(v.ID, now) < h.host.heartbeat(2) {
 			heard++
 		}
 	}
-	return heard < len(h.acc.State.Voters)/2+1
+	return heard < len(h.acceptor.State.Voters)/2+1
 }
 
-// apart is lone for whoever is not on the desk. Such a hut says so at once,
+// isolated is lone for whoever is not on the desk. Such a hut says so at once,
 // and its callers go on to another.
-func (h *hut) apart() (yes bool) {
-	h.desk.ask(func() { yes = h.lone(h.n.steady()) })
+func (h *ControlServer) isolated() (yes bool) {
+	h.loop.Call(func() { yes = h.lacksMajority(h.host.steady()) })
 	return yes
 }
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -21,40 +21,40 @@
 // keeps to its share of a new version, counts what it sees of both versions
 // and tells the hut that it watches first.
 
-// scout is what a front knows of rollouts. All but watches and tally belongs
+// rolloutFollower is what a front knows of rollouts. All but watches and tally belongs
 // to the trail's desk.
-type scout struct {
+type rolloutFollower struct {
 	orders map[string]consensus.Rollout
-	lanes  map[string]*rollout.Lane
-	// until is when a trial ends here, by order.
-	until  map[int64]time.Duration
-	halted map[int64]bool
-	// watches are the services with a rollout under way.
-	watches atomic.Pointer[map[string]watched]
-	tally   rollout.Tally
-	judges  map[int64]*rollout.Judge
-	life    int64
-	seq     int64
+	splits map[string]*rollout.Lane
+	// trialUntil is when a trial ends here, by order.
+	trialUntil map[int64]time.Duration
+	halted     map[int64]bool
+	// observed are the services with a rollout under way.
+	observed    atomic.Pointer[map[string]observedRollout]
+	recorder    rollout.Tally
+	evaluators  map[int64]*rollout.Judge
+	incarnation int64
+	sequence    int64
 }
 
-// watched is a service of which both versions are counted.
-type watched struct {
+// observedRollout is a service of which both versions are counted.
+type observedRollout struct {
 	order        int64
 	from, target string
-	// many: the new version has too many searchers to tell each apart.
-	many bool
-	term time.Duration
+	// aggregateEndpoints: the new version has too many searchers to tell each apart.
+	aggregateEndpoints bool
+	term               time.Duration
 }
 
-func (s *scout) reset() {
-	s.orders, s.until, s.halted, s.judges = map[string]consensus.Rollout{}, map[int64]time.Duration{}, map[int64]bool{}, map[int64]*rollout.Judge{}
-	s.life = rand.Int64()
+func (s *rolloutFollower) reset() {
+	s.orders, s.trialUntil, s.halted, s.evaluators = map[string]consensus.Rollout{}, map[int64]time.Duration{}, map[int64]bool{}, map[int64]*rollout.Judge{}
+	s.incarnation = rand.Int64()
 }
 
 // clock tells steady time and how long no hut in touch with a majority has answered.
-func (t *trail) clock() (now, heard time.Duration) {
-	now = t.n.steady()
-	return now, now - time.Duration(t.heardAt.Load())
+func (t *FrontServer) clock() (now, heard time.Duration) {
+	now = t.host.steady()
+	return now, now - time.Duration(t.majorityHeardAt.Load())
 }
 
 // deaf is how long a node may hear of no majority before it keeps to settled versions.
@@ -72,71 +72,71 @@
 	return rollout.Exposure{Share: b.ExposureShare, Slack: b.ExposureSlack}
 }
 
-// takeRollouts takes what a hut tells of the orders; it runs on the desk.
-func (t *trail) takeRollouts(say watchSay) {
-	if say.RolledTo <= t.held.Load().rolled {
+// onRollouts takes what a hut tells of the orders; it runs on the desk.
+func (t *FrontServer) onRollouts(say WatchResponse) {
+	if say.RolledTo <= t.progress.Load().rolloutSlot {
 		return
 	}
-	now := t.n.steady()
+	now := t.host.steady()
 	for _, r := range say.Rollouts {
-		old := t.scout.orders[r.Service]
+		old := t.rollouts.orders[r.Service]
 		if r.Slot <= old.Slot {
 			continue
 		}
-		t.scout.orders[r.Service] = r
-		if r.Phase == consensus.Trial && now > t.n.heartbeat(4) {
+		t.rollouts.orders[r.Service] = r
+		if r.Phase == consensus.Trial && now > t.host.heartbeat(4) {
 			// One that has just started does not know how much of it is over.
-			t.scout.until[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
+			t.rollouts.trialUntil[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
 		}
 	}
-	first := t.held.Load().rolled < 0
-	t.hold(func(h *holds) { h.rolled = say.RolledTo })
+	first := t.progress.Load().rolloutSlot < 0
+	t.updateProgress(func(h *progress) { h.rolloutSlot = say.RolledTo })
 	if first || len(say.Rollouts) > 0 {
-		t.setLanes()
-		t.tick()
+		t.applyTrafficSplits()
+		t.advanceLayouts()
 		t.publish()
 	}
 }
 
-// setLanes works out where requests may go; it runs on the desk.
-func (t *trail) setLanes() {
-	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]watched{}
+// applyTrafficSplits works out where requests may go; it runs on the desk.
+func (t *FrontServer) applyTrafficSplits() {
+	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]observedRollout{}
 	if t.table != nil {
 		for service, first := range t.table.First {
 			lanes[service] = &rollout.Lane{From: first}
 		}
 	}
-	o, e := t.opt.Rollout, t.n.exposure()
-	for service, r := range t.scout.orders {
-		l := &rollout.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.scout.until[r.N], Halted: t.scout.halted[r.N]}
+	o, e := t.options.Rollout, t.host.exposure()
+	for service, r := range t.rollouts.orders {
+		l := &rollout.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.N], Halted: t.rollouts.halted[r.N]}
 		if l.From == "" && lanes[service] != nil {
 			l.From = lanes[service].From
 		}
 		lanes[service] = l
 		if r.Running() {
-			watches[service] = watched{r.N, l.From, r.Target, t.count(service, r.Target) > whoMost, time.Duration(r.DurationMs) * time.Millisecond}
+			watches[service] = observedRollout{r.N, l.From, r.Target, t.countEndpoints(service, r.Target) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
 		}
 	}
 	for service, l := range lanes {
 		versions[service] = l.Versions()
 	}
-	t.scout.lanes = lanes
-	t.scout.watches.Store(&watches)
-	t.board.SetVersions(versions, t.n.steady())
+	t.rollouts.splits = lanes
+	t.rollouts.observed.Store(&watches)
+	t.layouts.SetVersions(versions, t.host.steady())
 	runs := map[int64]bool{}
 	for _, w := range watches {
 		runs[w.order] = true
 	}
 	gone := func(order int64) bool { return !runs[order] }
-	maps.DeleteFunc(t.scout.until, func(order int64, _ time.Duration) bool { return gone(order) })
-	maps.DeleteFunc(t.scout.halted, func(order int64, _ bool) bool { return gone(order) })
-	maps.DeleteFunc(t.scout.judges, func(order int64, _ *rollout.Judge) bool { return gone(order) })
+	maps.DeleteFunc(t.rollouts.trialUntil, func(order int64, _ time.Duration) bool { return gone(order) })
+	maps.DeleteFunc(t.rollouts.halted, func(order int64, _ bool) bool { return gone(order) })
+	maps.DeleteFunc(t.rollouts.evaluators, func(order int64, _ *rollout.Judge) bool { return gone(order) })
 }
 
-// whoMost is how many searchers of a new version are told apart one by one.
-const whoMost = 8
+// maxTrackedEndpoints is how many searchers of a new version are told apart one by one.
+const maxTrackedEndpoints = 8
 
-func (t *trail) count(service, version string) (n int) {
+func (t *FrontServer) countEndpoints(service, version string) (n int) {
 	if t.table == nil {
 		return 0
 	}
@@ -148,28 +148,28 @@
 	return n
 }
 
-// choose picks a searcher for a request of this node's own, as its lane allows.
-func (t *trail) choose(service string, aim time.Duration) (*upstream.Peer, time.Time) {
+// pickEndpoint picks a searcher for a request of this node's own, as its lane allows.
+func (t *FrontServer) pickEndpoint(service string, aim time.Duration) (*upstream.Peer, time.Time) {
 	var l *rollout.Lane
-	if s := t.head.Current(); s != nil {
+	if s := t.frontend.Current(); s != nil {
 		l = s.Lanes[service]
 	}
 	now, heard := t.clock()
-	w := l.Way(now, heard, t.n.deaf(), rand.Float64())
+	w := l.Way(now, heard, t.host.deaf(), rand.Float64())
 	for i, version := range []string{w.Once, w.Then, w.Else} {
 		if version == "" && i != 1 {
 			continue
 		}
-		if p, start := t.rng.Choose(upstream.Among{Service: service, Version: version}, nil, aim, false); p != nil {
+		if p, start := t.endpoints.Choose(upstream.Among{Service: service, Version: version}, nil, aim, false); p != nil {
 			return p, start
 		}
 	}
 	return nil, time.Now()
 }
 
-// seen counts a try at a service with a rollout under way.
-func (t *trail) seen(p *upstream.Peer, r *upstream.Request, o *upstream.Outcome) {
-	ws := t.scout.watches.Load()
+// recordAttempt counts a try at a service with a rollout under way.
+func (t *FrontServer) recordAttempt(p *upstream.Peer, r *upstream.Request, o *upstream.Outcome) {
+	ws := t.rollouts.observed.Load()
 	if ws == nil {
 		return
 	}
@@ -179,18 +179,18 @@
 	}
 	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Far()}
 	if c.New {
-		if c.Who = p.Entry; w.many {
-			c.Who = p.Entry % whoMost
+		if c.Who = p.Entry; w.aggregateEndpoints {
+			c.Who = p.Entry % maxTrackedEndpoints
 		}
 	}
-	if s, ok := sumOf(o, r.Aim); ok {
-		t.scout.tally.Note(c, s)
+	if s, ok := attemptSample(o, r.Aim); ok {
+		t.rollouts.recorder.Note(c, s)
 	}
 }
 
-// sumOf is what one try tells of a version. A try that had less time than the
+// attemptSample is what one try tells of a version. A try that had less time than the
 // aim tells nothing by its end.
-func sumOf(o *upstream.Outcome, aim time.Duration) (rollout.Sum, bool) {
+func attemptSample(o *upstream.Outcome, aim time.Duration) (rollout.Sum, bool) {
 	late := errors.Is(o.Err, os.ErrDeadlineExceeded) || errors.Is(o.Err, context.DeadlineExceeded) || o.Status == 504
 	if late && o.Took < aim {
 		return rollout.Sum{}, false
@@ -206,59 +206,59 @@
 	return s, true
 }
 
-// tallyLoop tells the hut watched first what was seen, and judges it here as well.
-func (t *trail) tallyLoop() {
+// reportLoop tells the hut watched first what was seen, and judges it here as well.
+func (t *FrontServer) reportLoop() {
 	for {
 		select {
-		case <-t.n.stop:
+		case <-t.host.stop:
 			return
-		case <-time.After(time.Duration(float64(t.n.heartbeat(0.15)) * (0.8 + 0.4*rand.Float64()))):
+		case <-time.After(time.Duration(float64(t.host.heartbeat(0.15)) * (0.8 + 0.4*rand.Float64()))):
 		}
-		if ws := t.scout.watches.Load(); ws == nil || len(*ws) == 0 {
+		if ws := t.rollouts.observed.Load(); ws == nil || len(*ws) == 0 {
 			continue
 		}
-		entries := t.scout.tally.Take()
+		entries := t.rollouts.recorder.Take()
 		if len(entries) == 0 {
 			continue
 		}
-		to, m := "", tally{Name: t.n.set().NodeName, Life: t.scout.life, Entries: entries}
-		t.desk.ask(func() {
-			t.judge(entries)
-			t.scout.seq++
-			m.Seq = t.scout.seq
-			if len(t.picked) > 0 {
-				to = t.picked[0]
+		to, m := "", RolloutReport{Name: t.host.set().NodeName, Life: t.rollouts.incarnation, Entries: entries}
+		t.loop.Call(func() {
+			t.evaluate(entries)
+			t.rollouts.sequence++
+			m.Seq = t.rollouts.sequence
+			if len(t.watchTargets) > 0 {
+				to = t.watchTargets[0]
 			}
 		})
-		if to == "" || t.n.call.Ask(t.n.set().RopeAddr(to), pathTally, m, nil, t.n.heartbeat(0.5)) != nil {
+		if to == "" || t.host.call.Ask(t.host.set().RopeAddr(to), PathRolloutReport, m, nil, t.host.heartbeat(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
-				t.scout.tally.Note(e.Cell, e.Sum)
+				t.rollouts.recorder.Note(e.Cell, e.Sum)
 			}
 		}
 	}
 }
 
-// judge runs the charts over what this node saw itself; it runs on the desk.
-func (t *trail) judge(entries []rollout.Entry) {
-	now := t.n.steady()
+// evaluate runs the charts over what this node saw itself; it runs on the desk.
+func (t *FrontServer) evaluate(entries []rollout.Entry) {
+	now := t.host.steady()
 	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range entries {
 		byOrder[e.Order] = append(byOrder[e.Order], e)
 	}
-	for service, w := range *t.scout.watches.Load() {
-		j := t.scout.judges[w.order]
+	for service, w := range *t.rollouts.observed.Load() {
+		j := t.rollouts.evaluators[w.order]
 		if j == nil {
-			j = rollout.NewJudge(t.opt.Rollout, w.term, now)
-			t.scout.judges[w.order] = j
+			j = rollout.NewJudge(t.options.Rollout, w.term, now)
+			t.rollouts.evaluators[w.order] = j
 		}
-		j.Loaded = t.scout.orders[service].Phase != consensus.Canary
+		j.Loaded = t.rollouts.orders[service].Phase != consensus.Canary
 		j.Add(byOrder[w.order])
 		j.Step(now)
-		if j.Bad() != "" && !t.scout.halted[w.order] {
-			t.scout.halted[w.order] = true
+		if j.Bad() != "" && !t.rollouts.halted[w.order] {
+			t.rollouts.halted[w.order] = true
 			events.Log(events.CanaryHalted, "service", service, "version", w.target, "why", j.Bad())
-			t.setLanes()
+			t.applyTrafficSplits()
 			t.publish()
 		}
 	}
--- a/internal/lodge/desk.go
+++ b/internal/lodge/desk.go
@@ -1,14 +1,14 @@
 package lodge
 
-// desk is the owner of some tables: commands wait in its queue and run one
+// Loop is the owner of some tables: commands wait in its queue and run one
 // after the other on its goroutine.
-type desk struct {
+type Loop struct {
 	queue chan func()
 	stop  chan struct{}
 }
 
-func newDesk() *desk {
-	d := &desk{queue: make(chan func(), 256), stop: make(chan struct{})}
+func NewLoop() *Loop {
+	d := &Loop{queue: make(chan func(), 256), stop: make(chan struct{})}
 	go func() {
 		for {
 			select {
@@ -22,22 +22,22 @@
 	return d
 }
 
-// post queues a command.
-func (d *desk) post(f func()) {
+// Submit queues a command.
+func (d *Loop) Submit(f func()) {
 	select {
 	case d.queue <- f:
 	case <-d.stop:
 	}
 }
 
-// ask queues a command and waits for its end.
-func (d *desk) ask(f func()) {
+// Call queues a command and waits for its end.
+func (d *Loop) Call(f func()) {
 	done := make(chan struct{})
-	d.post(func() { f(); close(done) })
+	d.Submit(func() { f(); close(done) })
 	select {
 	case <-done:
 	case <-d.stop:
 	}
 }
 
-func (d *desk) close() { close(d.stop) }
+func (d *Loop) Close() { close(d.stop) }
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -12,92 +12,92 @@
 // by itself, and late, which searchers do not answer. Fronts tell the hut that
 // they watch first; what several tell, it tells all that watch it.
 
-// hearsay is what a front tells: the entries of searchers that did not answer it.
-type hearsay struct {
+// UnreachableReport is what a front tells: the entries of searchers that did not answer it.
+type UnreachableReport struct {
 	Name string
 	Dark []int64
 }
 
-// accusers is how many fronts must get no answer, of all in a zone at least a
+// requiredReporters is how many fronts must get no answer, of all in a zone at least a
 // twentieth: one that is slow itself does not speak for the others.
-func accusers(here int) int { return max(2, (here+19)/20) }
+func requiredReporters(here int) int { return max(2, (here+19)/20) }
 
-// gossip is a hut's table of hearsay; it belongs to the hut's desk.
-type gossip struct {
-	// said holds who got no answer from a searcher, and when.
-	said map[int64]map[string]time.Duration
-	// dark holds until when a searcher is told of; seq numbers what is told.
-	dark map[int64]time.Duration
-	seq  int64
+// unreachableTable is a hut's table of hearsay; it belongs to the hut's desk.
+type unreachableTable struct {
+	// reports holds who got no answer from a searcher, and when.
+	reports map[int64]map[string]time.Duration
+	// unreachableUntil holds until when a searcher is told of; seq numbers what is told.
+	unreachableUntil map[int64]time.Duration
+	revision         int64
 }
 
-// hear takes what a front tells. It returns true when there is something new
+// onReport takes what a front tells. It returns true when there is something new
 // to tell; fresh is how long hearsay counts, and lasts how long it is told.
-func (g *gossip) hear(m hearsay, need int, now, fresh, lasts time.Duration) bool {
+func (g *unreachableTable) onReport(m UnreachableReport, need int, now, fresh, lasts time.Duration) bool {
 	news := false
 	for _, e := range m.Dark {
-		if g.said[e] == nil {
-			if len(g.said) >= 4096 {
+		if g.reports[e] == nil {
+			if len(g.reports) >= 4096 {
 				continue
 			}
-			g.said[e] = map[string]time.Duration{}
+			g.reports[e] = map[string]time.Duration{}
 		}
-		g.said[e][m.Name] = now
+		g.reports[e][m.Name] = now
 		n := 0
-		for name, at := range g.said[e] {
+		for name, at := range g.reports[e] {
 			if now-at > fresh {
-				delete(g.said[e], name)
+				delete(g.reports[e], name)
 				continue
 			}
 			n++
 		}
 		// What is told already is told anew only when it is about to lapse.
-		if n >= need && g.dark[e]-now < lasts/2 {
-			g.dark[e] = now + lasts
+		if n >= need && g.unreachableUntil[e]-now < lasts/2 {
+			g.unreachableUntil[e] = now + lasts
 			news = true
 		}
 	}
 	return news
 }
 
-// tell lists what is told now, and forgets what has lapsed.
-func (g *gossip) tell(now, fresh time.Duration) (out []int64) {
-	for e, until := range g.dark {
+// current lists what is told now, and forgets what has lapsed.
+func (g *unreachableTable) current(now, fresh time.Duration) (out []int64) {
+	for e, until := range g.unreachableUntil {
 		if now >= until {
-			delete(g.dark, e)
+			delete(g.unreachableUntil, e)
 			continue
 		}
 		out = append(out, e)
 	}
-	for e, names := range g.said {
+	for e, names := range g.reports {
 		for name, at := range names {
 			if now-at > fresh {
 				delete(names, name)
 			}
 		}
 		if len(names) == 0 {
-			delete(g.said, e)
+			delete(g.reports, e)
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// handleHearsay takes what a front tells; many words close together go out as
+// onUnreachableReport takes what a front tells; many words close together go out as
 // one. It runs on the desk.
-func (h *hut) handleHearsay(m hearsay) {
-	now := h.n.steady()
-	_, here := h.around(h.fronts[m.Name].zone)
-	if !h.gossip.hear(m, accusers(here), now, h.n.heartbeat(2), h.n.hearsayLasts()) || h.spreading {
+func (h *ControlServer) onUnreachableReport(m UnreachableReport) {
+	now := h.host.steady()
+	_, here := h.frontsAround(h.fronts[m.Name].zone)
+	if !h.unreachable.onReport(m, requiredReporters(here), now, h.host.heartbeat(2), h.host.hearsayLasts()) || h.reportScheduled {
 		return
 	}
-	h.spreading = true
-	time.AfterFunc(h.n.heartbeat(0.1), func() {
-		h.desk.post(func() {
-			h.spreading = false
-			h.gossip.seq++
-			events.Log(events.HearsayTold, "searchers", len(h.gossip.dark))
-			h.announce()
+	h.reportScheduled = true
+	time.AfterFunc(h.host.heartbeat(0.1), func() {
+		h.loop.Submit(func() {
+			h.reportScheduled = false
+			h.unreachable.revision++
+			events.Log(events.HearsayTold, "searchers", len(h.unreachable.unreachableUntil))
+			h.notifyWatchers()
 		})
 	})
 }
@@ -105,27 +105,27 @@
 // hearsayLasts is how long hearsay keeps requests away from a searcher.
 func (n *Node) hearsayLasts() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
 
-// hearsayLoop tells the hut watched first of searchers that did not answer.
-func (t *trail) hearsayLoop() {
+// reportUnreachableLoop tells the hut watched first of searchers that did not answer.
+func (t *FrontServer) reportUnreachableLoop() {
 	for {
 		select {
-		case <-t.n.stop:
+		case <-t.host.stop:
 			return
-		case <-t.missed:
+		case <-t.endpointMissed:
 		}
 		// Others of the same request come in together.
-		time.Sleep(t.n.heartbeat(0.05))
-		dark := t.rng.Missed(t.n.heartbeat(1))
+		time.Sleep(t.host.heartbeat(0.05))
+		dark := t.endpoints.Missed(t.host.heartbeat(1))
 		to := ""
-		t.desk.ask(func() {
-			if len(t.picked) > 0 {
-				to = t.picked[0]
+		t.loop.Call(func() {
+			if len(t.watchTargets) > 0 {
+				to = t.watchTargets[0]
 			}
 		})
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.n.call.Ask(t.n.set().RopeAddr(to), pathHearsay, hearsay{t.n.set().NodeName, dark}, nil, t.n.heartbeat(0.5))
-		time.Sleep(t.n.heartbeat(0.2))
+		_ = t.host.call.Ask(t.host.set().RopeAddr(to), PathUnreachable, UnreachableReport{t.host.set().NodeName, dark}, nil, t.host.heartbeat(0.5))
+		time.Sleep(t.host.heartbeat(0.2))
 	}
 }
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -67,7 +67,7 @@
 		if n.trail.ready.Load() {
 			ready++
 		}
-		held := n.trail.held.Load()
+		held := n.trail.progress.Load()
 		if held.version >= version && !held.stamp.Less(table) {
 			current++
 		}
@@ -78,7 +78,7 @@
 // Newest is the newest version and table that any of the fronts holds.
 func (h *Hollow) Newest() (version int64, table endpoints.Stamp) {
 	for _, n := range h.nodes {
-		held := n.trail.held.Load()
+		held := n.trail.progress.Load()
 		version = max(version, held.version)
 		if table.Less(held.stamp) {
 			table = held.stamp
@@ -94,7 +94,7 @@
 		for _, l := range n.sockets {
 			l.Close()
 		}
-		if l := n.trail.ln.Load(); l != nil {
+		if l := n.trail.listener.Load(); l != nil {
 			(*l).Close()
 		}
 	}
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -23,85 +23,85 @@
 	"swiftswitch/internal/transport"
 )
 
-// hut is the part of a node with a disk. Its tables belong to one desk.
-type hut struct {
-	n      *Node
-	cellar *storage.Cellar
-	desk   *desk
+// ControlServer is the part of a node with a disk. Its tables belong to one desk.
+type ControlServer struct {
+	host  *Node
+	store *storage.Cellar
+	loop  *Loop
 
 	// Owned by the desk.
-	acc     consensus.Keeper
-	learned time.Duration
-	// highest is the highest number of a ballot that was seen.
-	highest int64
+	acceptor         consensus.Keeper
+	versionLearnedAt time.Duration
+	// highestRound is the highest number of a ballot that was seen.
+	highestRound int64
 	// packedValue is the body of the accepted value, as it came.
 	packedValue []byte
-	// put is what was last given to the disk; keeping wait until all is there.
-	put     struct{ version, takenSeq int64 }
-	keeping []keepWait
-	// told holds news for those behind, by the slot they are at.
-	told  map[int64]*news
-	table *endpoints.Table
-	// bodies holds the last few configurations, packed what was made of them
+	// lastWrite is what was last given to the disk; keeping wait until all is there.
+	lastWrite         struct{ version, takenSeq int64 }
+	durabilityWaiters []durabilityWaiter
+	// stateDeltas holds news for those behind, by the slot they are at.
+	stateDeltas map[int64]*StateDelta
+	table       *endpoints.Table
+	// pastBodies holds the last few configurations, packed what was made of them
 	// for who holds which of them.
-	bodies []bodyRecord
-	packed map[int64]packedVersion
-	// past holds the last few tables, to tell what changed since them.
-	past   []*endpoints.Table
-	deltas map[endpoints.Stamp][]byte
+	pastBodies     []BodyRecord
+	packedVersions map[int64]packedVersion
+	// pastTables holds the last few tables, to tell what changed since them.
+	pastTables  []*endpoints.Table
+	tableDeltas map[endpoints.Stamp][]byte
 	// voter grants leases on duties; duty is this node's part in the one there is.
-	voter *lease.Voter
-	duty  *lease.Duty
-	// acting is the epoch under which this node has the duty, 0: it has not;
+	voter     *lease.Voter
+	pollLease *lease.Duty
+	// actingEpoch is the epoch under which this node has the duty, 0: it has not;
 	// unfit: it could not have it.
-	acting int64
-	unfit  bool
-	// asked holds the voters that a bid is under way to, tables what they held by address.
-	asked  map[string]bool
-	tables map[string]tableAt
-	// taken and released wake the duty's controllers.
-	taken, released chan struct{}
-	depot           *handoff.Depot
-	watch           *membership.Watch
-	fronts          map[string]frontSeen
-	// counted is how many fronts there are, before what an earlier life counted.
-	counted, before int
-	countedAt       time.Duration
-	// frontsKept is the count on disk.
-	frontsKept int
-	others     map[string]hutSeen
-	changed    chan struct{}
-	// rollN numbers the states of the roll of nodes that watch this hut
+	actingEpoch int64
+	ineligible  bool
+	// leaseRequests holds the voters that a bid is under way to, tables what they held by address.
+	leaseRequests map[string]bool
+	grantorTables map[string]grantorTable
+	// leaseAcquired and released wake the duty's controllers.
+	leaseAcquired, leaseReleased chan struct{}
+	handoff                      *handoff.Depot
+	detector                     *membership.Watch
+	fronts                       map[string]frontState
+	// frontCount is how many fronts there are, before what an earlier life counted.
+	frontCount, inheritedFrontCount int
+	frontsCountedAt                 time.Duration
+	// persistedFrontCount is the count on disk.
+	persistedFrontCount int
+	peers               map[string]peerState
+	changed             chan struct{}
+	// rosterRevision numbers the states of the roll of nodes that watch this hut
 	// first; rolls holds those of the other huts.
-	rollN  int64
-	rolled []relay.Front
-	rolls  map[string]rollSeen
-	// keepers are the larders, and when they were last heard.
-	keepers map[string]time.Duration
-	purges  chan *purgeWait
-	gossip  gossip
-	course  course
-	// spreading: what is new in gossip goes out in a moment.
-	spreading bool
-	// known are the fronts that this hut or another heard, and when.
-	known map[string]knownFront
+	rosterRevision int64
+	lastRoster     []relay.Front
+	peerRosters    map[string]peerRoster
+	// cacheNodeHeardAt are the larders, and when they were last heard.
+	cacheNodeHeardAt map[string]time.Duration
+	purgeQueue       chan *pendingPurge
+	unreachable      unreachableTable
+	rollouts         rolloutController
+	// reportScheduled: what is new in gossip goes out in a moment.
+	reportScheduled bool
+	// knownFronts are the fronts that this hut or another heard, and when.
+	knownFronts map[string]knownFront
 
-	// born tells one life of this node from another; life numbers them: it was
+	// bootID tells one life of this node from another; life numbers them: it was
 	// raised on disk before anything else was done in this one.
-	born, life int64
+	bootID, incarnation int64
 
-	// proposing lets one proposal of this node run at a time.
-	proposing turns
-	// orders counts the operator's orders under way; closing: none is taken any more.
-	orders  atomic.Int64
-	closing atomic.Bool
+	// proposalLock lets one proposal of this node run at a time.
+	proposalLock proposalLock
+	// ordersInFlight counts the operator's orders under way; closing: none is taken any more.
+	ordersInFlight atomic.Int64
+	closing        atomic.Bool
 }
 
-// bodiesKept is how many versions back a hut can tell the difference, as long
+// maxPastBodies is how many versions back a hut can tell the difference, as long
 // as they take no more than a message may.
-const bodiesKept = 8
+const maxPastBodies = 8
 
-func newHut(n *Node) (*hut, error) {
+func NewControlServer(n *Node) (*ControlServer, error) {
 	s := n.set()
 	slow, again := config.Ms(s.Bounds.AcknowledgeMs, 0.1), config.Ms(s.Bounds.AcknowledgeMs, 0.04)
 	cel, err := storage.Open(s.DataDirectory, slow, again)
@@ -115,12 +115,12 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hut{n: n, cellar: cel, desk: newDesk(), depot: handoff.New(), fronts: map[string]frontSeen{}, others: map[string]hutSeen{}, changed: make(chan struct{}), rolls: map[string]rollSeen{}, known: map[string]knownFront{}, keepers: map[string]time.Duration{}, purges: make(chan *purgeWait, 1024), packed: map[int64]packedVersion{}, told: map[int64]*news{}, deltas: map[endpoints.Stamp][]byte{}, gossip: gossip{said: map[int64]map[string]time.Duration{}, dark: map[int64]time.Duration{}},
-		asked: map[string]bool{}, tables: map[string]tableAt{}, taken: make(chan struct{}, 1), released: make(chan struct{}, 1)}
+	h := &ControlServer{host: n, store: cel, loop: NewLoop(), handoff: handoff.New(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
+		leaseRequests: map[string]bool{}, grantorTables: map[string]grantorTable{}, leaseAcquired: make(chan struct{}, 1), leaseReleased: make(chan struct{}, 1)}
 	leases := map[string]lease.Record{}
 	var id string
 	var terms rollout.Noted
-	err = load(cel, map[string]any{recTerms: &terms, recIdentity: &id, recLeases: &leases, recTable: &h.table, recFronts: &h.before, recLife: &h.life})
+	err = loadRecords(cel, map[string]any{recordTerms: &terms, recordIdentity: &id, recordLeases: &leases, recordTable: &h.table, recordFronts: &h.inheritedFrontCount, recordIncarnation: &h.incarnation})
 	if err != nil {
 		return nil, err
 	}
@@ -128,9 +128,9 @@
 	if err != nil {
 		return nil, err
 	}
-	h.put.version, h.put.takenSeq = st.Version, st.TakenSeq
-	h.life++
-	records := map[string][]byte{recLife: encode(recLife, h.life)}
+	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.TakenSeq
+	h.incarnation++
+	records := map[string][]byte{recordIncarnation: Encode(recordIncarnation, h.incarnation)}
 	if id == "" {
 		if s.FirstStart && !cel.SetAside() {
 			ips := s.SeedIPs()
@@ -143,36 +143,36 @@
 			events.Log(events.IdentityNew, "id", id)
 		}
 		maps.Copy(records, stateRecords(st, -1, 0))
-		records[recIdentity] = encode(recIdentity, id)
+		records[recordIdentity] = Encode(recordIdentity, id)
 	}
-	if err := writeFirst(cel.PutAll, records, until, again); err != nil {
+	if err := writeInitialRecords(cel.PutAll, records, until, again); err != nil {
 		cel.Close(again)
 		return nil, err
 	}
-	h.acc.ID = id
-	h.acc.Restore(st, ballots)
-	h.packedValue, h.highest = packed, h.acc.Promised.N
-	h.born = rand.Int64N(1<<40) << 10
-	h.gossip.seq = h.born
-	h.watch, h.frontsKept = membership.NewWatch(n.heartbeat(1), n.steady()), h.before
-	h.unfit = true // until it has heard a majority
+	h.acceptor.ID = id
+	h.acceptor.Restore(st, ballots)
+	h.packedValue, h.highestRound = packed, h.acceptor.Promised.N
+	h.bootID = rand.Int64N(1<<40) << 10
+	h.unreachable.revision = h.bootID
+	h.detector, h.persistedFrontCount = membership.NewWatch(n.heartbeat(1), n.steady()), h.inheritedFrontCount
+	h.ineligible = true // until it has heard a majority
 	leaseDuration := n.heartbeat(1.25)
-	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acc.State.VotersSlot, h.acc.State.Votes(id), n.steady())
-	h.duty = lease.New(dutyList, id, leaseDuration, n.steady())
-	h.duty.SetLife(h.life)
-	h.duty.See(leases[dutyList].Epoch, leases[dutyList].Holder)
+	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.Votes(id), n.steady())
+	h.pollLease = lease.New(pollerRole, id, leaseDuration, n.steady())
+	h.pollLease.SetLife(h.incarnation)
+	h.pollLease.See(leases[pollerRole].Epoch, leases[pollerRole].Holder)
 	if h.table != nil {
-		h.duty.See(h.table.Stamp.Epoch, h.table.Stamp.By)
+		h.pollLease.See(h.table.Stamp.Epoch, h.table.Stamp.By)
 	}
-	h.setOrder()
-	h.course = newCourse(terms, n.steady())
-	h.follow()
+	h.applyVoters()
+	h.rollouts = newRolloutController(terms, n.steady())
+	h.applyRollouts()
 	return h, nil
 }
 
-// writeFirst waits until the records are on disk; a write that failed is tried
+// writeInitialRecords waits until the records are on disk; a write that failed is tried
 // again, as the opening is, while there is time.
-func writeFirst(put func(map[string][]byte, func(error)), records map[string][]byte, until time.Time, again time.Duration) error {
+func writeInitialRecords(put func(map[string][]byte, func(error)), records map[string][]byte, until time.Time, again time.Duration) error {
 	wait := make(chan error, 1)
 	for {
 		put(records, func(err error) { wait <- err })
@@ -185,7 +185,7 @@
 	}
 }
 
-func encode(name string, v any) []byte {
+func Encode(name string, v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		events.Log(events.InvariantBroken, "record", name, "err", err)
@@ -194,62 +194,64 @@
 	return b
 }
 
-// record writes one record.
-func (h *hut) record(name string, v any, then func(error)) { h.cellar.Put(name, encode(name, v), then) }
+// writeRecord writes one record.
+func (h *ControlServer) writeRecord(name string, v any, then func(error)) {
+	h.store.Put(name, Encode(name, v), then)
+}
 
-func (h *hut) start() {
-	go h.beatLoop()
+func (h *ControlServer) Start() {
+	go h.heartbeatLoop()
 	go h.leaseLoop()
 	go h.pollLoop()
 	go h.joinLoop()
-	go h.finishLoop()
+	go h.finishAcceptedLoop()
 	go h.purgeLoop()
 	go h.rolloutLoop()
 }
 
-// setOrder follows the voters; it runs on the desk.
-func (h *hut) setOrder() {
+// applyVoters follows the voters; it runs on the desk.
+func (h *ControlServer) applyVoters() {
 	var ids []string
-	for _, v := range h.acc.State.Voters {
+	for _, v := range h.acceptor.State.Voters {
 		ids = append(ids, v.ID)
 	}
 	slices.Sort(ids)
-	h.watch.Seat(ids, h.n.steady())
-	h.duty.SetVoters(h.acc.State.VotersSlot, ids)
+	h.detector.Seat(ids, h.host.steady())
+	h.pollLease.SetVoters(h.acceptor.State.VotersSlot, ids)
 }
 
-// announce wakes everybody who waits for news; it runs on the desk.
-func (h *hut) announce() {
+// notifyWatchers wakes everybody who waits for news; it runs on the desk.
+func (h *ControlServer) notifyWatchers() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
 // learn takes decided state; it runs on the desk.
-func (h *hut) learn(s consensus.State, how string) {
-	old := h.acc.State
-	if !h.acc.Learn(s) {
+func (h *ControlServer) learn(s consensus.State, how string) {
+	old := h.acceptor.State
+	if !h.acceptor.Learn(s) {
 		return
 	}
 	if s.Version != old.Version {
-		h.learned = h.n.steady()
+		h.versionLearnedAt = h.host.steady()
 	}
-	h.setOrder()
-	h.voter.SetVoters(s.VotersSlot, s.Votes(h.acc.ID), s.VotersSlot == old.Slot+1, h.n.steady())
-	h.follow()
-	h.keepState()
+	h.applyVoters()
+	h.voter.SetVoters(s.VotersSlot, s.Votes(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.steady())
+	h.applyRollouts()
+	h.persistState()
 	h.packedValue = nil
-	clear(h.told)
+	clear(h.stateDeltas)
 	if s.Version != old.Version {
-		clear(h.packed)
+		clear(h.packedVersions)
 		if old.Version > 0 {
-			h.bodies = append(h.bodies, bodyRecord{old.Version, old.Body})
+			h.pastBodies = append(h.pastBodies, BodyRecord{old.Version, old.Body})
 			size := 0
-			for _, b := range h.bodies {
+			for _, b := range h.pastBodies {
 				size += len(b.Body)
 			}
-			for len(h.bodies) > bodiesKept || size > h.n.maxMessage() {
-				size -= len(h.bodies[0].Body)
-				h.bodies = h.bodies[1:]
+			for len(h.pastBodies) > maxPastBodies || size > h.host.maxMessage() {
+				size -= len(h.pastBodies[0].Body)
+				h.pastBodies = h.pastBodies[1:]
 			}
 		}
 		events.Log(events.ConfigChosen, "slot", s.Slot, "version", s.Version, "how", how)
@@ -261,157 +263,157 @@
 		}
 		events.Log(events.VotersChosen, "slot", s.Slot, "voters", strings.Join(l, ","), "how", how)
 	}
-	h.announce()
+	h.notifyWatchers()
 }
 
-func (h *hut) state() (s consensus.State) {
-	h.desk.ask(func() { s = h.acc.State })
+func (h *ControlServer) State() (s consensus.State) {
+	h.loop.Call(func() { s = h.acceptor.State })
 	return s
 }
 
-// knows tells whether this node has any state to settle calls with.
-func (h *hut) knows() bool { return len(h.state().Voters) > 0 }
+// HasState tells whether this node has any state to settle calls with.
+func (h *ControlServer) HasState() bool { return len(h.State().Voters) > 0 }
 
-func (h *hut) voterIPs() []string {
+func (h *ControlServer) VoterIPs() []string {
 	var out []string
-	for _, v := range h.state().Voters {
+	for _, v := range h.State().Voters {
 		out = append(out, v.IP)
 	}
 	return out
 }
 
-// handle takes a call of another node and tells whether it was one of a hut's.
-func (h *hut) handle(c *app.RequestContext) bool {
+// HandleInternal takes a call of another node and tells whether it was one of a hut's.
+func (h *ControlServer) HandleInternal(c *app.RequestContext) bool {
 	switch string(c.Request.URI().PathOriginal()) {
-	case pathCairn:
-		var m cairnAsk
+	case PathConsensus:
+		var m ConsensusRequest
 		if transport.Read(c, &m) {
-			if say, err := h.vote(m); err != nil {
+			if say, err := h.handleConsensus(m); err != nil {
 				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
 			} else {
 				transport.Answer(c, 200, say)
 			}
 		}
-	case pathLearn:
-		var m learnAsk
+	case PathLearn:
+		var m LearnRequest
 		if transport.Read(c, &m) {
 			h.handleLearn(c, m)
 		}
-	case pathState:
-		var m stateAsk
+	case PathState:
+		var m StateRequest
 		if transport.Read(c, &m) {
-			var say *news
-			h.desk.ask(func() { say = h.news(min(m.Slot, h.acc.State.Slot)) })
+			var say *StateDelta
+			h.loop.Call(func() { say = h.stateDelta(min(m.Slot, h.acceptor.State.Slot)) })
 			transport.Answer(c, 200, say)
 		}
-	case pathVersion:
-		var m versionAsk
+	case PathVersion:
+		var m VersionRequest
 		if transport.Read(c, &m) {
-			var say versionSay
+			var say VersionResponse
 			var body []byte
-			h.desk.ask(func() { say, body = h.version(m) })
+			h.loop.Call(func() { say, body = h.versionResponse(m) })
 			c.SetStatusCode(200)
-			c.Response.Header.Set(headerVersion, string(encode("version", say)))
+			c.Response.Header.Set(HeaderVersion, string(Encode("version", say)))
 			c.Response.Header.SetContentType("application/json")
 			c.Response.Header.SetContentEncoding("gzip")
 			c.Response.SetBodyRaw(body)
 		}
-	case pathPeek:
-		var say peekSay
-		h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
+	case PathPeek:
+		var say PeekResponse
+		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
 		transport.Answer(c, 200, say)
-	case pathBeat:
-		var m beat
+	case PathHeartbeat:
+		var m Heartbeat
 		if transport.Read(c, &m) {
-			h.desk.ask(func() {
-				h.hear(m)
-				granted := h.renew(m)
-				m = h.beat()
+			h.loop.Call(func() {
+				h.onHeartbeat(m)
+				granted := h.grantRenewals(m)
+				m = h.heartbeat()
 				m.Granted = granted
 			})
 			transport.Answer(c, 200, m)
 		}
-	case pathTable:
-		var m tableAsk
+	case PathTable:
+		var m TableRequest
 		if !transport.Read(c, &m) {
 			return true
 		}
-		d, err := unpackDelta(m.Delta, h.n.maxMessage())
+		d, err := UnpackTableDelta(m.Delta, h.host.maxMessage())
 		if err != nil {
-			events.Log(events.MessageRefused, "path", pathTable, "from", c.RemoteAddr(), "err", err)
+			events.Log(events.MessageRefused, "path", PathTable, "from", c.RemoteAddr(), "err", err)
 			transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 			return true
 		}
-		var say tableSay
-		h.desk.ask(func() { say.Stamp = h.takeDelta(d) })
+		var say TableResponse
+		h.loop.Call(func() { say.Stamp = h.applyTableDelta(d) })
 		transport.Answer(c, 200, say)
-	case pathFetch:
-		var m fetchAsk
+	case PathTableFetch:
+		var m TableFetchRequest
 		if transport.Read(c, &m) {
-			var say fetchSay
-			h.desk.ask(func() {
+			var say TableFetchResponse
+			h.loop.Call(func() {
 				if h.table != nil {
-					say.Delta = h.delta(m.Stamp)
+					say.Delta = h.tableDelta(m.Stamp)
 				}
 			})
 			transport.Answer(c, 200, say)
 		}
-	case pathBid:
-		var m bidAsk
+	case PathLease:
+		var m LeaseRequest
 		if transport.Read(c, &m) {
-			if say, err := h.handleBid(m); err != nil {
+			if say, err := h.handleLeaseRequest(m); err != nil {
 				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
 			} else {
 				transport.Answer(c, 200, say)
 			}
 		}
-	case pathHearsay:
-		var m hearsay
+	case PathUnreachable:
+		var m UnreachableReport
 		if transport.Read(c, &m) {
-			h.desk.ask(func() { h.handleHearsay(m) })
+			h.loop.Call(func() { h.onUnreachableReport(m) })
 			transport.Answer(c, 200, struct{}{})
 		}
-	case pathEnlist:
+	case PathCacheJoin:
 		var l consensus.Larder
 		if !transport.Read(c, &l) {
 			return true
 		}
-		if h.handleEnlist(l) {
+		if h.handleCacheJoin(l) {
 			transport.Answer(c, 200, struct{}{})
 		} else {
 			transport.Answer(c, 503, map[string]string{"Error": "not agreed"})
 		}
-	case pathTally:
-		var m tally
+	case PathRolloutReport:
+		var m RolloutReport
 		if transport.Read(c, &m) {
-			h.desk.ask(func() { h.takeTally(m) })
+			h.loop.Call(func() { h.onRolloutReport(m) })
 			transport.Answer(c, 200, struct{}{})
 		}
-	case pathLedger:
-		var m ledger
+	case PathRolloutTotals:
+		var m RolloutTotals
 		if transport.Read(c, &m) {
-			h.desk.ask(func() { h.takeLedger(m) })
+			h.loop.Call(func() { h.onRolloutTotals(m) })
 			transport.Answer(c, 200, struct{}{})
 		}
-	case pathRoll:
-		var r roll
-		h.desk.ask(func() { r = h.roll() })
+	case PathFrontRoster:
+		var r FrontRoster
+		h.loop.Call(func() { r = h.frontRoster() })
 		transport.Answer(c, 200, r)
-	case pathSilent:
-		transport.Answer(c, 200, h.sayMembers())
-	case pathKeep:
-		if held, err := h.keep(); err != nil {
+	case PathSilentVoters:
+		transport.Answer(c, 200, h.memberReport())
+	case PathPersist:
+		if held, err := h.persistAndReport(); err != nil {
 			transport.Answer(c, 503, map[string]string{"Error": err.Error()})
 		} else {
 			transport.Answer(c, 200, held)
 		}
-	case pathJoin:
-		var m joinAsk
+	case PathJoin:
+		var m JoinRequest
 		if transport.Read(c, &m) {
 			transport.Answer(c, 200, h.handleJoin(m))
 		}
-	case pathWatch:
-		var m watchAsk
+	case PathWatch:
+		var m WatchRequest
 		if transport.Read(c, &m) {
 			transport.Answer(c, 200, h.handleWatch(m))
 		}
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -15,9 +15,9 @@
 	"swiftswitch/internal/upstream"
 )
 
-// larderAsk asks for an object, larderSay goes with the answer, in a header:
+// CacheFetchRequest asks for an object, larderSay goes with the answer, in a header:
 // the object itself is the body. All times are in milliseconds.
-type larderAsk struct {
+type CacheFetchRequest struct {
 	Host    string  `json:"H"`
 	Target  string  `json:"T"`
 	Service string  `json:"S"`
@@ -32,7 +32,7 @@
 	Again bool `json:"R,omitempty"`
 }
 
-type larderSay struct {
+type CacheFetchResponse struct {
 	// Status is 200 for a copy, 202 while it is being fetched, the origin's
 	// status for an answer passed on, and 502 to 504 for a failure of ours.
 	Status int           `json:"X"`
@@ -46,73 +46,73 @@
 	Passed bool          `json:"P,omitempty"`
 }
 
-// statusClosed: the node has no part of the service's ceiling now.
-const statusClosed = 409
+// StatusNoQuota: the node has no part of the service's ceiling now.
+const StatusNoQuota = 409
 
-const headerLarder = "Swiftswitch-Larder"
+const HeaderCacheFetch = "Swiftswitch-Larder"
 
 // Ratios of the tier.
 const (
-	// ceilingKeep is the part of a service's RequestsPerS that is used;
+	// rateLimitUse is the part of a service's RequestsPerS that is used;
 	// ceilingBurst, a part of CeilingWindowS, is how long it may be saved up.
-	ceilingKeep  = 0.98
-	ceilingBurst = 0.03
-	// quietAt, a part of CatchUpS, is how long a larder that hears of no hut
+	rateLimitUse   = 0.98
+	rateLimitBurst = 0.03
+	// MaxSilenceBeforePause, a part of CatchUpS, is how long a larder that hears of no hut
 	// goes on fetching; a hut counts it as gone after the whole of it.
-	quietAt = 0.6
-	// sparing is the part of the ceiling that fronts share when there is no larder.
-	sparing = 0.5
+	MaxSilenceBeforePause = 0.6
+	// frontFetchShare is the part of the ceiling that fronts share when there is no larder.
+	frontFetchShare = 0.5
 	// refreshAt, a part of the lifetime, is when a copy in use is confirmed ahead.
 	refreshAt = 0.75
-	// hopeless, a part of the time that a client has, is the wait above which it is refused.
-	hopeless = 0.7
+	// rejectAboveWait, a part of the time that a client has, is the wait above which it is refused.
+	rejectAboveWait = 0.7
 )
 
-// kitchen fetches objects, within this node's part of each service's ceiling.
+// Fetcher fetches objects, within this node's part of each service's ceiling.
 // On a larder it also keeps the copies that the fronts share.
-type kitchen struct {
-	n *Node
-	t *trail
+type Fetcher struct {
+	host  *Node
+	front *FrontServer
 
-	mu       sync.Mutex
-	shelf    *cache.Shelf
-	stove    *cache.Stove
-	ceilings map[string]*ratelimit.Ceiling
-	kick     chan struct{}
-	fetched  int64
-	ids      int64
-	name     string
+	mu            sync.Mutex
+	objects       *cache.Shelf
+	queue         *cache.Stove
+	limits        map[string]*ratelimit.Ceiling
+	wakeup        chan struct{}
+	fetches       int64
+	requestNumber int64
+	name          string
 }
 
-func newKitchen(n *Node, t *trail, limit int) *kitchen {
-	return &kitchen{n: n, t: t, shelf: cache.NewShelf(limit), stove: cache.NewStove(), ceilings: map[string]*ratelimit.Ceiling{}, kick: make(chan struct{}, 1), name: randomName()}
+func NewFetcher(n *Node, t *FrontServer, limit int) *Fetcher {
+	return &Fetcher{host: n, front: t, objects: cache.NewShelf(limit), queue: cache.NewStove(), limits: map[string]*ratelimit.Ceiling{}, wakeup: make(chan struct{}, 1), name: randomName()}
 }
 
-func (k *kitchen) wake() {
+func (k *Fetcher) wake() {
 	select {
-	case k.kick <- struct{}{}:
+	case k.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// held tells how many copies a larder holds, and their bytes.
-func (k *kitchen) held() (copies, bytes int) {
+// Held tells how many copies a larder holds, and their bytes.
+func (k *Fetcher) Held() (copies, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.shelf.Len(), k.shelf.Used()
+	return k.objects.Len(), k.objects.Used()
 }
 
-// count is how many fetches there were.
-func (k *kitchen) count() int64 {
+// Fetches is how many fetches there were.
+func (k *Fetcher) Fetches() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.fetched
+	return k.fetches
 }
 
-// share is this node's part of what a service takes a second; below 0 where
+// quota is this node's part of what a service takes a second; below 0 where
 // the service has no ceiling.
-func (k *kitchen) share(service string) float64 {
-	snap := k.t.head.Current()
+func (k *Fetcher) quota(service string) float64 {
+	snap := k.front.frontend.Current()
 	if snap == nil {
 		return 0
 	}
@@ -120,117 +120,117 @@
 	if sv == nil || sv.RequestsPerS <= 0 {
 		return -1
 	}
-	parts, ok := k.t.parts()
+	parts, ok := k.front.quotaShare()
 	if !ok {
 		return 0
 	}
-	return sv.RequestsPerS * ceilingKeep * parts
+	return sv.RequestsPerS * rateLimitUse * parts
 }
 
-// serve lets one fetch after the other go as the ceilings allow.
-func (k *kitchen) serve() {
+// Run lets one fetch after the other go as the ceilings allow.
+func (k *Fetcher) Run() {
 	for {
-		wait := k.n.heartbeat(0.2)
+		wait := k.host.heartbeat(0.2)
 		k.mu.Lock()
-		now := k.n.steady()
-		for _, service := range k.stove.Services() {
-			if w := k.next(service, now); w < wait {
+		now := k.host.steady()
+		for _, service := range k.queue.Services() {
+			if w := k.startFetches(service, now); w < wait {
 				wait = w
 			}
 		}
 		k.mu.Unlock()
 		t := time.NewTimer(wait)
 		select {
-		case <-k.n.stop:
+		case <-k.host.stop:
 			t.Stop()
 			return
-		case <-k.kick:
+		case <-k.wakeup:
 			t.Stop()
 		case <-t.C:
 		}
 	}
 }
 
-// next begins the fetches from a service that may go now and tells when the
+// startFetches begins the fetches from a service that may go now and tells when the
 // next may; it runs under the lock.
-func (k *kitchen) next(service string, now time.Duration) time.Duration {
-	share := k.share(service)
-	c := k.ceilings[service]
+func (k *Fetcher) startFetches(service string, now time.Duration) time.Duration {
+	share := k.quota(service)
+	c := k.limits[service]
 	if c == nil {
 		c = &ratelimit.Ceiling{}
 		c.Set(0, 0, now)
-		k.ceilings[service] = c
+		k.limits[service] = c
 	}
 	if share >= 0 && share != c.Rate() {
-		c.Set(share, max(0.1, k.n.set().Bounds.CeilingWindowS*ceilingBurst), now)
+		c.Set(share, max(0.1, k.host.set().Bounds.CeilingWindowS*rateLimitBurst), now)
 	}
-	for k.stove.Queued(service) > 0 {
+	for k.queue.Queued(service) > 0 {
 		if share >= 0 {
 			ok, wait := c.Take(now)
 			if !ok && wait < 0 {
-				return k.n.heartbeat(0.2)
+				return k.host.heartbeat(0.2)
 			}
 			if !ok {
 				return max(wait, time.Millisecond)
 			}
 		}
-		f := k.stove.Next(service, k.t.pantry.Known(), now)
+		f := k.queue.Next(service, k.front.cacheHandler.Known(), now)
 		if f == nil {
 			break
 		}
 		var old *cache.Copy
-		if c, _ := k.shelf.Peek(f.Key()); c != nil && c.Service == service {
+		if c, _ := k.objects.Peek(f.Key()); c != nil && c.Service == service {
 			old = c
 		}
 		go k.fetch(f, old)
 	}
-	return k.n.heartbeat(0.2)
+	return k.host.heartbeat(0.2)
 }
 
 // fetch asks one searcher for the whole object, or whether the copy held still is the newest.
-func (k *kitchen) fetch(f *cache.Flight, old *cache.Copy) {
+func (k *Fetcher) fetch(f *cache.Flight, old *cache.Copy) {
 	k.mu.Lock()
-	k.ids++
-	k.fetched++
-	id := fmt.Sprintf("%s-%d", k.name, k.ids)
-	until := f.Began + k.n.heartbeat(8)
+	k.requestNumber++
+	k.fetches++
+	id := fmt.Sprintf("%s-%d", k.name, k.requestNumber)
+	until := f.Began + k.host.heartbeat(8)
 	k.mu.Unlock()
 	etag := ""
 	if old != nil {
 		etag = old.ETag
 	}
-	aim := k.n.heartbeat(0.5)
-	if r := k.t.route(f.Host, f.Target); r != nil {
+	aim := k.host.heartbeat(0.5)
+	if r := k.front.route(f.Host, f.Target); r != nil {
 		aim = r.Target
 		until = f.Began + r.Timeout
 	}
-	peer, start := k.t.choose(f.Service, aim)
+	peer, start := k.front.pickEndpoint(f.Service, aim)
 	if peer == nil {
-		k.failed(f, 503, "no searcher")
+		k.onFailed(f, 503, "no searcher")
 		return
 	}
-	left := until - k.n.steady()
+	left := until - k.host.steady()
 	ask := upstream.Read(id, f.Host, f.Target, etag)
 	ask.Aim = aim
-	o := k.t.rng.Try(peer, ask, start, time.Now().Add(left))
+	o := k.front.endpoints.Try(peer, ask, start, time.Now().Add(left))
 	defer o.Release()
 	switch {
 	case o.Verdict == upstream.Answered && o.Status == 304 && old != nil:
-		k.done(f, old.Confirmed(f.Began, f.Known), nil)
+		k.onFetched(f, old.Confirmed(f.Began, f.Known), nil)
 	case o.Good() && o.Status == 200 && len(o.Resp.Header.Peek("ETag")) > 0:
-		k.done(f, k.copyOf(f, &o), nil)
+		k.onFetched(f, k.objectOf(f, &o), nil)
 	case o.Verdict == upstream.Answered && (o.Good() || o.Status >= 300) && o.Status < 500 && o.Status != 304 && o.Status != 429:
-		c := k.copyOf(f, &o)
-		k.done(f, nil, &cache.Passed{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
+		c := k.objectOf(f, &o)
+		k.onFetched(f, nil, &cache.Passed{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
 	case o.Verdict == upstream.NotRun:
-		k.failed(f, 503, "the searcher is full")
+		k.onFailed(f, 503, "the searcher is full")
 	default:
-		k.failed(f, 502, "no whole answer")
+		k.onFailed(f, 502, "no whole answer")
 	}
 }
 
-// copyOf takes the searcher's answer as a copy.
-func (k *kitchen) copyOf(f *cache.Flight, o *upstream.Outcome) *cache.Copy {
+// objectOf takes the searcher's answer as a copy.
+func (k *Fetcher) objectOf(f *cache.Flight, o *upstream.Outcome) *cache.Copy {
 	c := &cache.Copy{Host: f.Host, Target: f.Target, Service: f.Service, Stamp: o.Stamp, Born: f.Began, Known: f.Known}
 	c.Body = append([]byte(nil), o.Resp.Body()...)
 	o.Resp.Header.VisitAll(func(key, val []byte) {
@@ -251,152 +251,152 @@
 	return c
 }
 
-// done ends a fetch that brought something.
-func (k *kitchen) done(f *cache.Flight, c *cache.Copy, p *cache.Passed) {
+// onFetched ends a fetch that brought something.
+func (k *Fetcher) onFetched(f *cache.Flight, c *cache.Copy, p *cache.Passed) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	now := k.n.steady()
+	now := k.host.steady()
 	if c != nil {
-		if k.t.pantry.Killed(c) && f.Tries < 4 && f.Wait(now) {
+		if k.front.cacheHandler.Killed(c) && f.Tries < 4 && f.Wait(now) {
 			// A purge came while it was fetched: what is here may be what it ended.
-			k.stove.Again(f)
+			k.queue.Again(f)
 			k.wake()
 			return
 		}
-		if r := k.t.route(f.Host, f.Target); r != nil && r.Cached && r.Lifetime > 0 {
-			k.shelf.Put(c)
+		if r := k.front.route(f.Host, f.Target); r != nil && r.Cached && r.Lifetime > 0 {
+			k.objects.Put(c)
 		}
 		f.Copy = c
 	}
 	f.Passed = p
-	k.stove.End(f, 200, "")
+	k.queue.End(f, 200, "")
 }
 
-// failed lets a fetch try once more, or ends it.
-func (k *kitchen) failed(f *cache.Flight, status int, why string) {
+// onFailed lets a fetch try once more, or ends it.
+func (k *Fetcher) onFailed(f *cache.Flight, status int, why string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if f.Tries < 3 && f.Wait(k.n.steady()) {
-		k.stove.Again(f)
+	if f.Tries < 3 && f.Wait(k.host.steady()) {
+		k.queue.Again(f)
 		k.wake()
 		return
 	}
-	k.stove.End(f, status, why)
+	k.queue.End(f, status, why)
 }
 
-// bring gives a copy that may be served, fetching it if need be; it waits at
+// Get gives a copy that may be served, fetching it if need be; it waits at
 // most for wait, and then tells that it is under way.
-func (k *kitchen) bring(a larderAsk, lifetime time.Duration, sends func(string) bool) (larderSay, []byte) {
+func (k *Fetcher) Get(a CacheFetchRequest, lifetime time.Duration, sends func(string) bool) (CacheFetchResponse, []byte) {
 	until := time.Now().Add(time.Duration(min(a.WaitMs, a.LeftMs)) * time.Millisecond)
-	for k.t.pantry.Known() < a.Purge && time.Now().Before(until) {
+	for k.front.cacheHandler.Known() < a.Purge && time.Now().Before(until) {
 		// The asker has heard of a purge that this node has not: it is on its way.
-		time.Sleep(k.n.heartbeat(0.01))
+		time.Sleep(k.host.heartbeat(0.01))
 	}
 	key := cache.Key(a.Host, a.Target)
 	for {
 		k.mu.Lock()
-		now := k.n.steady()
-		c := k.shelf.Get(key)
-		if known, ok := k.t.pantry.Vouch(c, lifetime, sends); ok {
+		now := k.host.steady()
+		c := k.objects.Get(key)
+		if known, ok := k.front.cacheHandler.Vouch(c, lifetime, sends); ok {
 			k.mu.Unlock()
-			k.ahead(c, lifetime, now)
-			return say(c, known, now)
+			k.refreshAhead(c, lifetime, now)
+			return objectResponse(c, known, now)
 		}
-		if k.share(a.Service) == 0 {
+		if k.quota(a.Service) == 0 {
 			k.mu.Unlock()
-			return larderSay{Status: statusClosed}, nil
+			return CacheFetchResponse{Status: StatusNoQuota}, nil
 		}
 		left, aim := time.Duration(a.LeftMs)*time.Millisecond, time.Duration(a.AimMs)*time.Millisecond
-		f := k.stove.Want(a.Host, a.Target, a.Service, a.Weight, now, now+left, aim/3)
-		back := k.expect(f, now)
+		f := k.queue.Want(a.Host, a.Target, a.Service, a.Weight, now, now+left, aim/3)
+		back := k.expectedWait(f, now)
 		k.mu.Unlock()
 		k.wake()
-		if !a.Again && back > aim || back > time.Duration(float64(left)*hopeless) {
+		if !a.Again && back > aim || back > time.Duration(float64(left)*rejectAboveWait) {
 			// Told now when it will be there, the client loses less than by waiting.
-			return larderSay{Status: 503, BackMs: min(back, left/4).Milliseconds()}, nil
+			return CacheFetchResponse{Status: 503, BackMs: min(back, left/4).Milliseconds()}, nil
 		}
 		t := time.NewTimer(time.Until(until))
 		select {
 		case <-f.Done:
 			t.Stop()
 		case <-t.C:
-			return larderSay{Status: 202}, nil
+			return CacheFetchResponse{Status: 202}, nil
 		}
 		switch {
 		case f.Copy != nil:
-			if known, ok := k.t.pantry.Vouch(f.Copy, lifetime, sends); ok {
-				return say(f.Copy, known, k.n.steady())
+			if known, ok := k.front.cacheHandler.Vouch(f.Copy, lifetime, sends); ok {
+				return objectResponse(f.Copy, known, k.host.steady())
 			} else if lifetime <= 0 {
-				return say(f.Copy, f.Copy.Known, k.n.steady())
+				return objectResponse(f.Copy, f.Copy.Known, k.host.steady())
 			}
 			continue
 		case f.Passed != nil:
-			return larderSay{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, Passed: true}, f.Passed.Body
+			return CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, Passed: true}, f.Passed.Body
 		}
-		return larderSay{Status: f.Status, BackMs: int64(k.n.heartbeat(0.1) / time.Millisecond)}, nil
+		return CacheFetchResponse{Status: f.Status, BackMs: int64(k.host.heartbeat(0.1) / time.Millisecond)}, nil
 	}
 }
 
-// expect is about how long it takes until a fetch has ended; it runs under the lock.
-func (k *kitchen) expect(f *cache.Flight, now time.Duration) time.Duration {
-	typical, _ := k.t.rng.Latency(f.Service)
+// expectedWait is about how long it takes until a fetch has ended; it runs under the lock.
+func (k *Fetcher) expectedWait(f *cache.Flight, now time.Duration) time.Duration {
+	typical, _ := k.front.endpoints.Latency(f.Service)
 	if f.Running {
 		return max(0, f.Began+typical-now)
 	}
-	if c := k.ceilings[f.Service]; c != nil && c.Rate() > 0 {
-		typical += time.Duration(float64(k.stove.Before(f, now)) / c.Rate() * float64(time.Second))
+	if c := k.limits[f.Service]; c != nil && c.Rate() > 0 {
+		typical += time.Duration(float64(k.queue.Before(f, now)) / c.Rate() * float64(time.Second))
 	}
 	return typical
 }
 
-// ahead confirms a copy in use before it is too old, where nothing else waits.
-func (k *kitchen) ahead(c *cache.Copy, lifetime, now time.Duration) {
+// refreshAhead confirms a copy in use before it is too old, where nothing else waits.
+func (k *Fetcher) refreshAhead(c *cache.Copy, lifetime, now time.Duration) {
 	if float64(c.Age(now)) < refreshAt*float64(lifetime) {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if _, uses := k.shelf.Peek(c.Key()); uses > 2 && k.stove.Find(c.Key()) == nil && k.stove.Queued(c.Service) == 0 {
-		k.stove.Want(c.Host, c.Target, c.Service, 0.01, now, c.Born+lifetime, lifetime)
+	if _, uses := k.objects.Peek(c.Key()); uses > 2 && k.queue.Find(c.Key()) == nil && k.queue.Queued(c.Service) == 0 {
+		k.queue.Want(c.Host, c.Target, c.Service, 0.01, now, c.Born+lifetime, lifetime)
 		k.wake()
 	}
 }
 
-func say(c *cache.Copy, known int64, now time.Duration) (larderSay, []byte) {
-	return larderSay{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, Known: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
+func objectResponse(c *cache.Copy, known int64, now time.Duration) (CacheFetchResponse, []byte) {
+	return CacheFetchResponse{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, Known: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
 }
 
-// handle takes a front's ask.
-func (k *kitchen) handle(c *app.RequestContext) {
-	var a larderAsk
+// HandleFetch takes a front's ask.
+func (k *Fetcher) HandleFetch(c *app.RequestContext) {
+	var a CacheFetchRequest
 	if !transport.Read(c, &a) {
 		return
 	}
-	s := larderSay{Status: 503}
+	s := CacheFetchResponse{Status: 503}
 	var body []byte
-	if r := k.t.route(a.Host, a.Target); r != nil && a.LeftMs > 0 && r.Cached && r.Sends(a.Service) {
-		s, body = k.bring(a, r.Lifetime, r.Sends)
+	if r := k.front.route(a.Host, a.Target); r != nil && a.LeftMs > 0 && r.Cached && r.Sends(a.Service) {
+		s, body = k.Get(a, r.Lifetime, r.Sends)
 	}
 	c.SetStatusCode(200)
-	c.Response.Header.Set(headerLarder, string(encode("larder", s)))
+	c.Response.Header.Set(HeaderCacheFetch, string(Encode("larder", s)))
 	c.Response.Header.SetContentType("application/octet-stream")
 	c.Response.SetBodyRaw(body)
 }
 
-// enlistLoop makes this node one of the larders.
-func (k *kitchen) enlistLoop() {
+// JoinLoop makes this node one of the larders.
+func (k *Fetcher) JoinLoop() {
 	for {
 		select {
-		case <-k.n.stop:
+		case <-k.host.stop:
 			return
-		case <-time.After(k.n.heartbeat(0.5)):
+		case <-time.After(k.host.heartbeat(0.5)):
 		}
-		if l := k.t.larders.Load(); l != nil && l.on || k.n.leaving.Load() {
+		if l := k.front.cacheNodes.Load(); l != nil && l.member || k.host.leaving.Load() {
 			continue
 		}
-		self := consensus.Larder{Name: k.n.set().NodeName, IP: k.n.set().IpAddress, Zone: k.n.set().Zone}
-		for _, ip := range k.t.hutIPs() {
-			if k.n.call.Ask(k.n.set().RopeAddr(ip), pathEnlist, self, nil, config.Ms(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
+		self := consensus.Larder{Name: k.host.set().NodeName, IP: k.host.set().IpAddress, Zone: k.host.set().Zone}
+		for _, ip := range k.front.ControlIPs() {
+			if k.host.call.Ask(k.host.set().RopeAddr(ip), PathCacheJoin, self, nil, config.Ms(k.host.set().Bounds.AcknowledgeMs, 0.4)) == nil {
 				events.Log(events.LarderListed, "by", ip)
 				break
 			}
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -10,11 +10,11 @@
 	"swiftswitch/internal/lease"
 )
 
-// dutyList is the duty to read the platform's list.
-const dutyList = "list"
+// pollerRole is the duty to read the platform's list.
+const pollerRole = "list"
 
-// tableAt is the table that a voter held when it granted an epoch.
-type tableAt struct {
+// grantorTable is the table that a voter held when it granted an epoch.
+type grantorTable struct {
 	voter string
 	epoch int64
 	stamp endpoints.Stamp
@@ -22,132 +22,132 @@
 
 // leaseLoop asks for the duty's lease where this node is the one to have it,
 // and gives it back where it is not. Renewals go with the beats.
-func (h *hut) leaseLoop() {
+func (h *ControlServer) leaseLoop() {
 	for {
 		var release, bid lease.Bid
 		var yields, asks, holds bool
 		var to map[string]string
-		h.desk.ask(func() {
-			now := h.n.steady()
-			if h.n.leaving.Load() {
+		h.loop.Call(func() {
+			now := h.host.steady()
+			if h.host.leaving.Load() {
 				return
 			}
-			release, yields = h.duty.Yield(false, now)
-			if bid, asks = h.duty.Ask(now); asks {
-				to = h.missing(now)
+			release, yields = h.pollLease.Yield(false, now)
+			if bid, asks = h.pollLease.Ask(now); asks {
+				to = h.votersToAsk(now)
 			}
-			h.noteDuty(now)
-			holds = h.duty.Holds(now)
+			h.noteLease(now)
+			holds = h.pollLease.Holds(now)
 		})
 		if yields {
-			h.release(release)
+			h.releaseLease(release)
 		}
 		for id, ip := range to {
-			go h.bid(bid, id, ip)
+			go h.requestLease(bid, id, ip)
 		}
-		wait := h.n.heartbeat(0.2)
+		wait := h.host.heartbeat(0.2)
 		if asks && !holds {
-			wait = h.n.heartbeat(0.1)
+			wait = h.host.heartbeat(0.1)
 		}
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
 		case <-time.After(wait):
-		case <-h.released:
+		case <-h.leaseReleased:
 		}
 	}
 }
 
-// missing lists the voters to be asked by a call of their own: those that the
+// votersToAsk lists the voters to be asked by a call of their own: those that the
 // beats renew nothing with. It runs on the desk.
-func (h *hut) missing(now time.Duration) map[string]string {
+func (h *ControlServer) votersToAsk(now time.Duration) map[string]string {
 	to := map[string]string{}
-	for _, v := range h.acc.State.Voters {
+	for _, v := range h.acceptor.State.Voters {
 		// A holder can do without those that are silent.
-		if h.asked[v.ID] || !h.duty.Missing(v.ID, now) || h.duty.Holds(now) && !h.duty.Live(v.ID, now) {
+		if h.leaseRequests[v.ID] || !h.pollLease.Missing(v.ID, now) || h.pollLease.Holds(now) && !h.pollLease.Live(v.ID, now) {
 			continue
 		}
-		h.asked[v.ID] = true
+		h.leaseRequests[v.ID] = true
 		to[v.ID] = v.IP
 	}
 	return to
 }
 
-// bid asks one voter for the lease.
-func (h *hut) bid(b lease.Bid, id, ip string) {
-	var say bidSay
+// requestLease asks one voter for the lease.
+func (h *ControlServer) requestLease(b lease.Bid, id, ip string) {
+	var say LeaseResponse
 	var err error
-	sent := h.n.steady()
-	if ip == h.n.set().IpAddress {
-		say, err = h.handleBid(bidAsk{Bid: b})
+	sent := h.host.steady()
+	if ip == h.host.set().IpAddress {
+		say, err = h.handleLeaseRequest(LeaseRequest{Bid: b})
 	} else {
-		err = h.n.call.Ask(h.n.set().RopeAddr(ip), pathBid, bidAsk{Bid: b}, &say, h.n.heartbeat(0.8))
+		err = h.host.call.Ask(h.host.set().RopeAddr(ip), PathLease, LeaseRequest{Bid: b}, &say, h.host.heartbeat(0.8))
 	}
-	h.desk.post(func() {
-		delete(h.asked, id)
+	h.loop.Submit(func() {
+		delete(h.leaseRequests, id)
 		if err != nil {
 			return
 		}
-		h.tables[ip] = tableAt{say.Grant.Voter, b.Epoch, say.Stamp}
-		now := h.n.steady()
-		h.duty.Answer(b, say.Grant, sent, now)
-		h.noteDuty(now)
+		h.grantorTables[ip] = grantorTable{say.Grant.Voter, b.Epoch, say.Stamp}
+		now := h.host.steady()
+		h.pollLease.Answer(b, say.Grant, sent, now)
+		h.noteLease(now)
 	})
 }
 
-// noteDuty notes where this node came to have the duty, or has it no more; it
+// noteLease notes where this node came to have the duty, or has it no more; it
 // runs on the desk.
-func (h *hut) noteDuty(now time.Duration) {
-	epoch, holds := h.duty.Token(now)
+func (h *ControlServer) noteLease(now time.Duration) {
+	epoch, holds := h.pollLease.Token(now)
 	switch {
-	case holds && epoch != h.acting:
+	case holds && epoch != h.actingEpoch:
 		events.Log(events.DutyTaken, "epoch", epoch)
-		h.acting = epoch
+		h.actingEpoch = epoch
 		select {
-		case h.taken <- struct{}{}:
+		case h.leaseAcquired <- struct{}{}:
 		default:
 		}
-	case !holds && h.acting != 0:
-		events.Log(events.DutyLeft, "epoch", h.acting, "known", h.duty.Epoch, "holder", h.duty.Holder)
-		h.acting = 0
+	case !holds && h.actingEpoch != 0:
+		events.Log(events.DutyLeft, "epoch", h.actingEpoch, "known", h.pollLease.Epoch, "holder", h.pollLease.Holder)
+		h.actingEpoch = 0
 	}
-	if unfit := !h.duty.Fit(now); unfit != h.unfit {
-		if h.unfit = unfit; unfit {
+	if unfit := !h.pollLease.Fit(now); unfit != h.ineligible {
+		if h.ineligible = unfit; unfit {
 			events.Log(events.DutyUnfit)
 		}
 	}
 }
 
-// release gives a lease back before its time.
-func (h *hut) release(b lease.Bid) {
-	for _, v := range h.state().Voters {
-		if v.IP == h.n.set().IpAddress {
-			_, _ = h.handleBid(bidAsk{Bid: b, Release: true})
+// releaseLease gives a lease back before its time.
+func (h *ControlServer) releaseLease(b lease.Bid) {
+	for _, v := range h.State().Voters {
+		if v.IP == h.host.set().IpAddress {
+			_, _ = h.handleLeaseRequest(LeaseRequest{Bid: b, Release: true})
 			continue
 		}
 		go func() {
-			var say bidSay
-			_ = h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathBid, bidAsk{Bid: b, Release: true}, &say, h.n.heartbeat(0.8))
+			var say LeaseResponse
+			_ = h.host.call.Ask(h.host.set().RopeAddr(v.IP), PathLease, LeaseRequest{Bid: b, Release: true}, &say, h.host.heartbeat(0.8))
 		}()
 	}
 }
 
-// handleBid answers as a voter; what it granted is on disk before the answer leaves.
-func (h *hut) handleBid(m bidAsk) (say bidSay, err error) {
+// handleLeaseRequest answers as a voter; what it granted is on disk before the answer leaves.
+func (h *ControlServer) handleLeaseRequest(m LeaseRequest) (say LeaseResponse, err error) {
 	done := make(chan error, 1)
-	h.desk.ask(func() {
-		now := h.n.steady()
+	h.loop.Call(func() {
+		now := h.host.steady()
 		if m.Release {
 			h.voter.Release(m.Bid, now)
 			select {
-			case h.released <- struct{}{}:
+			case h.leaseReleased <- struct{}{}:
 			default:
 			}
 			done <- nil
 			return
 		}
 		var write int64
-		say.Grant, write = h.grant(m.Bid, now)
+		say.Grant, write = h.grantLease(m.Bid, now)
 		if h.table != nil {
 			say.Stamp = h.table.Stamp
 		}
@@ -156,66 +156,66 @@
 			return
 		}
 		records, write := h.voter.Records()
-		h.record(recLeases, records, func(err error) {
+		h.writeRecord(recordLeases, records, func(err error) {
 			if err == nil {
-				h.desk.post(func() { h.voter.Kept(write) })
+				h.loop.Submit(func() { h.voter.Kept(write) })
 			}
 			done <- err
 		})
 	})
 	select {
 	case err = <-done:
-	case <-time.After(h.n.heartbeat(0.8)):
+	case <-time.After(h.host.heartbeat(0.8)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
 }
 
-// grant lets the voter answer; it runs on the desk.
-func (h *hut) grant(b lease.Bid, now time.Duration) (lease.Grant, int64) {
-	h.voter.Unsettle(h.acc.Value != nil && len(h.acc.Value.Voters) > 0)
+// grantLease lets the voter answer; it runs on the desk.
+func (h *ControlServer) grantLease(b lease.Bid, now time.Duration) (lease.Grant, int64) {
+	h.voter.Unsettle(h.acceptor.Value != nil && len(h.acceptor.Value.Voters) > 0)
 	return h.voter.Take(b, now)
 }
 
-// renewals go with a beat of the holder; it runs on the desk.
-func (h *hut) renewals(now time.Duration) (b lease.Bid, out map[string]renewal) {
-	if h.n.leaving.Load() {
+// leaseRenewals go with a beat of the holder; it runs on the desk.
+func (h *ControlServer) leaseRenewals(now time.Duration) (b lease.Bid, out map[string]LeaseRenewal) {
+	if h.host.leaving.Load() {
 		return b, nil
 	}
-	b, ok := h.duty.Ask(now)
-	if !ok || !h.duty.Holds(now) {
+	b, ok := h.pollLease.Ask(now)
+	if !ok || !h.pollLease.Holds(now) {
 		return b, nil
 	}
-	if g, write := h.grant(b, now); write == 0 {
-		h.duty.Answer(b, g, now, now)
+	if g, write := h.grantLease(b, now); write == 0 {
+		h.pollLease.Answer(b, g, now, now)
 	}
-	return b, map[string]renewal{b.Duty: {b.Epoch, b.Life, b.VotersSlot}}
+	return b, map[string]LeaseRenewal{b.Duty: {b.Epoch, b.Life, b.VotersSlot}}
 }
 
-// renew answers the renewals of a beat: those that need no write are granted,
+// grantRenewals answers the renewals of a beat: those that need no write are granted,
 // the others must be bid for. It runs on the desk.
-func (h *hut) renew(m beat) (granted []string) {
+func (h *ControlServer) grantRenewals(m Heartbeat) (granted []string) {
 	for duty, r := range m.Renews {
-		if g, write := h.grant(lease.Bid{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.n.steady()); g.OK && write == 0 {
+		if g, write := h.grantLease(lease.Bid{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.host.steady()); g.OK && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
 	return granted
 }
 
-// renewed takes the answer to renewals sent then; it runs on the desk.
-func (h *hut) renewed(b lease.Bid, say beat, sent time.Duration) {
+// onRenewals takes the answer to renewals sent then; it runs on the desk.
+func (h *ControlServer) onRenewals(b lease.Bid, say Heartbeat, sent time.Duration) {
 	if b.Epoch > 0 && slices.Contains(say.Granted, b.Duty) {
-		h.duty.Answer(b, lease.Grant{Voter: say.ID, OK: true}, sent, h.n.steady())
+		h.pollLease.Answer(b, lease.Grant{Voter: say.ID, OK: true}, sent, h.host.steady())
 	}
 }
 
-// yield gives the duty back for good: this node leaves.
-func (h *hut) yield() {
+// resignLease gives the duty back for good: this node leaves.
+func (h *ControlServer) resignLease() {
 	var b lease.Bid
 	yields := false
-	h.desk.ask(func() { b, yields = h.duty.Yield(true, h.n.steady()) })
+	h.loop.Call(func() { b, yields = h.pollLease.Yield(true, h.host.steady()) })
 	if yields {
-		h.release(b)
+		h.releaseLease(b)
 	}
 }
--- a/internal/lodge/lease_test.go
+++ b/internal/lodge/lease_test.go
@@ -41,8 +41,8 @@
 func TestPollerCutOff(t *testing.T) {
 	w, s := start(t)
 	one, two, three := w.nodes["1"].hut, w.nodes["2"].hut, w.nodes["3"].hut
-	w.eventually("the first has the duty", func() bool { return one.status().Polling })
-	before := one.status()
+	w.eventually("the first has the duty", func() bool { return one.Status().Polling })
+	before := one.Status()
 	if before.LeaseAgeMs <= 0 {
 		t.Error("the holder does not know how old its lease is")
 	}
@@ -53,8 +53,8 @@
 	w.mark("plain-a", "draining")
 	both := 0
 	w.eventually("the majority goes on", func() bool {
-		st := two.status()
-		if st.Polling && one.status().Polling {
+		st := two.Status()
+		if st.Polling && one.Status().Polling {
 			both++
 		}
 		return st.Polling && st.Epoch > before.Epoch && st.Holder == st.ID
@@ -69,16 +69,16 @@
 	})
 	// The list lags and calls it ready once more. Several leases go by.
 	w.mark("plain-a", "ready")
-	alone := one.status().Table
-	for end := time.Now().Add(6 * one.n.heartbeat(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		st := one.status()
+	alone := one.Status().Table
+	for end := time.Now().Add(6 * one.host.heartbeat(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		st := one.Status()
 		if st.Polling || st.Epoch != before.Epoch || st.Table != alone {
 			t.Fatalf("the one cut off has epoch %d (it had %d), polls: %v, table %v", st.Epoch, before.Epoch, st.Polling, st.Table)
 		}
 	}
-	one.desk.ask(func() {
-		if records, _ := one.voter.Records(); records[dutyList].Epoch != before.Epoch {
-			t.Errorf("it granted itself epoch %d", records[dutyList].Epoch)
+	one.loop.Call(func() {
+		if records, _ := one.voter.Records(); records[pollerRole].Epoch != before.Epoch {
+			t.Errorf("it granted itself epoch %d", records[pollerRole].Epoch)
 		}
 	})
 	// It settles nothing and says so at once; what was acknowledged stays so.
@@ -88,18 +88,18 @@
 	}{{"GET", "", "", 503}, {"PUT", "3", configBody(4, "s1", "s2"), 503}, {"PUT", "0", configBody(3, "s1", "s2"), 200}} {
 		at := time.Now()
 		status, text := w.control(1, call.method, call.match, call.body)
-		if took := time.Since(at); status != call.want || took > one.n.heartbeat(2) {
+		if took := time.Since(at); status != call.want || took > one.host.heartbeat(2) {
 			t.Errorf("%s by the one cut off: %d after %v: %s", call.method, status, took, text)
 		}
 	}
-	if st := one.status(); !st.Lone || st.MajorityAgeMs < one.n.heartbeat(2).Milliseconds() || two.status().Lone {
-		t.Errorf("the one cut off shows lone %v, a majority %d ms ago; another %v", st.Lone, st.MajorityAgeMs, two.status().Lone)
+	if st := one.Status(); !st.Lone || st.MajorityAgeMs < one.host.heartbeat(2).Milliseconds() || two.Status().Lone {
+		t.Errorf("the one cut off shows lone %v, a majority %d ms ago; another %v", st.Lone, st.MajorityAgeMs, two.Status().Lone)
 	}
-	other := two.status().Epoch
+	other := two.Status().Epoch
 	w.onPort(w.port, "1", "2", "3", "11", "12")
 	w.eventually("the healed one has the duty again, above the others' epoch", func() bool {
-		st := one.status()
-		if st.Polling && two.status().Polling {
+		st := one.Status()
+		if st.Polling && two.Status().Polling {
 			both++
 		}
 		return st.Polling && st.Epoch > other
@@ -109,14 +109,14 @@
 	}
 	w.mark("s1-a", "draining") // a change, so that there is a table of that epoch
 	w.eventually("it shows that it is in touch again, and what it remembers", func() bool {
-		st := one.status()
-		return !st.Lone && st.MajorityAgeMs < one.n.heartbeat(1).Milliseconds() && st.Kept == st.Slot && st.BehindBy == 0 && st.Life == 1 && st.Resends == 1 && st.Changes == 1
+		st := one.Status()
+		return !st.Lone && st.MajorityAgeMs < one.host.heartbeat(1).Milliseconds() && st.Kept == st.Slot && st.BehindBy == 0 && st.Life == 1 && st.Resends == 1 && st.Changes == 1
 	})
 	w.eventually("all have its table", func() bool {
-		a, b, c := one.status().Table, two.status().Table, three.status().Table
+		a, b, c := one.Status().Table, two.Status().Table, three.Status().Table
 		return a.Epoch > other && a == b && b == c
 	})
-	one.desk.ask(func() {
+	one.loop.Call(func() {
 		for _, x := range one.table.Searchers {
 			if x.ID == "plain-a" && !x.Drains {
 				t.Error("what drained during the cut is ready again")
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -70,10 +70,10 @@
 	events.Log(events.Draining, "grace", grace)
 	n.leaving.Store(true)
 	if n.trail != nil {
-		n.trail.leave(start, grace)
+		n.trail.Drain(start, grace)
 	}
 	if n.hut != nil {
-		n.hut.leave(start, grace)
+		n.hut.Drain(start, grace)
 	}
 	close(n.stop)
 	for _, ln := range n.sockets {
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -24,18 +24,18 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				ask := watchAsk{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, Purge: -1, Zone: []string{"z1", "z2"}[i%2], First: true, HoldMs: 100, Hello: true}
-				var say watchSay
-				if err := w.nodes["1"].call.Ask(to, pathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
+				ask := WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, Purge: -1, Zone: []string{"z1", "z2"}[i%2], First: true, HoldMs: 100, Hello: true}
+				var say WatchResponse
+				if err := w.nodes["1"].call.Ask(to, PathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
 					t.Errorf("hello: %v, %d huts", err, len(say.Huts))
 					return
 				}
 				ask.Hello = false
-				if err := w.nodes["1"].call.Ask(to, pathWatch, ask, &say, 3*time.Second); err != nil {
+				if err := w.nodes["1"].call.Ask(to, PathWatch, ask, &say, 3*time.Second); err != nil {
 					t.Errorf("watch: %v", err)
 					return
 				}
-				d, err := unpackDelta(say.Delta, 1<<20)
+				d, err := UnpackTableDelta(say.Delta, 1<<20)
 				if err != nil {
 					t.Errorf("what came can't be read: %v", err)
 					return
@@ -51,33 +51,33 @@
 		}
 	}
 	// What several of them tell of a searcher reaches another at once.
-	need := accusers(fronts/2 + 1)
+	need := requiredReporters(fronts/2 + 1)
 	for i := range need {
-		if err := w.nodes["1"].call.Ask(to, pathHearsay, hearsay{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
+		if err := w.nodes["1"].call.Ask(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var say watchSay
-	ask := watchAsk{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.nodes["1"].call.Ask(to, pathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
+	var say WatchResponse
+	ask := WatchRequest{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
+	if err := w.nodes["1"].call.Ask(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
 		t.Errorf("told of silent searchers: %v, %v", say.Dark, err)
 	}
 	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
-	time.Sleep(hut.n.heartbeat(0.1))
-	hut.desk.ask(func() {
-		if n := len(hut.deltas); n != 1 {
+	time.Sleep(hut.host.heartbeat(0.1))
+	hut.loop.Call(func() {
+		if n := len(hut.tableDeltas); n != 1 {
 			t.Errorf("the table was packed in %d ways", n)
 		}
-		all := hut.countFronts(hut.n.steady())
-		region, here := hut.around("z2")
+		all := hut.countFronts(hut.host.steady())
+		region, here := hut.frontsAround("z2")
 		if all != fronts+2 || here != fronts/2+1 || region < here {
 			t.Errorf("counted %d fronts, %d in the region, %d in the zone", all, region, here)
 		}
 	})
-	if _, err := unpackDelta([]byte("no gzip"), 1<<20); err == nil {
+	if _, err := UnpackTableDelta([]byte("no gzip"), 1<<20); err == nil {
 		t.Error("garbage was unpacked")
 	}
-	if _, err := unpackDelta(pack(make([]byte, 5000)), 4000); err == nil {
+	if _, err := UnpackTableDelta(GzipPack(make([]byte, 5000)), 4000); err == nil {
 		t.Error("an oversize message was unpacked")
 	}
 }
@@ -89,7 +89,7 @@
 	holder := ""
 	w.eventually("somebody has the duty", func() bool {
 		for _, n := range []string{"1", "2", "3"} {
-			if w.nodes[n].hut.status().Polling {
+			if w.nodes[n].hut.Status().Polling {
 				holder = n
 			}
 		}
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -15,35 +15,37 @@
 // Membership among the huts. Who gets which place is decided in bivouac; here
 // is who asks whom, and for how long.
 
-// longSilence is after how long a voter may lose its place.
-func (h *hut) longSilence() time.Duration { return config.Sec(h.n.set().Bounds.CatchUpS, 0.5) }
+// replacementTimeout is after how long a voter may lose its place.
+func (h *ControlServer) replacementTimeout() time.Duration {
+	return config.Sec(h.host.set().Bounds.CatchUpS, 0.5)
+}
 
-// tick notes that this node runs; it runs on the desk.
-func (h *hut) tick() {
-	if h.watch.Tick(h.n.steady()) {
+// detectorTick notes that this node runs; it runs on the desk.
+func (h *ControlServer) detectorTick() {
+	if h.detector.Tick(h.host.steady()) {
 		events.Log(events.WokeUp)
 	}
 }
 
-// hearFronts remembers how many fronts another hut counts: a node that nobody
+// onFrontCount remembers how many fronts another hut counts: a node that nobody
 // watches, or that is young, goes by it. It runs on the desk.
-func (h *hut) hearFronts(n int, now time.Duration) {
-	if now < config.Sec(h.n.set().Bounds.RetryWindowS, 1) {
-		h.before = max(h.before, n)
+func (h *ControlServer) onFrontCount(n int, now time.Duration) {
+	if now < config.Sec(h.host.set().Bounds.RetryWindowS, 1) {
+		h.inheritedFrontCount = max(h.inheritedFrontCount, n)
 	}
-	if n > h.frontsKept {
-		h.frontsKept = n
-		h.record(recFronts, n, nil)
+	if n > h.persistedFrontCount {
+		h.persistedFrontCount = n
+		h.writeRecord(recordFronts, n, nil)
 	}
 }
 
-// sayMembers is what this node tells a judge.
-func (h *hut) sayMembers() (say membership.Say) {
-	h.desk.ask(func() {
-		now := h.n.steady()
-		say = membership.Say{ID: h.acc.ID, Slot: h.acc.State.Slot, Leaving: h.n.leaving.Load()}
-		for _, v := range h.acc.State.Voters {
-			if v.ID != h.acc.ID && h.watch.Silent(v.ID, now) > h.longSilence() {
+// memberReport is what this node tells a judge.
+func (h *ControlServer) memberReport() (say membership.Say) {
+	h.loop.Call(func() {
+		now := h.host.steady()
+		say = membership.Say{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.leaving.Load()}
+		for _, v := range h.acceptor.State.Voters {
+			if v.ID != h.acceptor.ID && h.detector.Silent(v.ID, now) > h.replacementTimeout() {
 				say.Silent = append(say.Silent, v.ID)
 			}
 		}
@@ -51,78 +53,78 @@
 	return say
 }
 
-// keep tells what this node holds, once all of it is on its disk.
-func (h *hut) keep() (held beat, err error) {
+// persistAndReport tells what this node holds, once all of it is on its disk.
+func (h *ControlServer) persistAndReport() (held Heartbeat, err error) {
 	done := make(chan error, 1)
-	h.desk.ask(func() {
-		held = h.beat()
-		held.Fronts = h.frontsKept
+	h.loop.Call(func() {
+		held = h.heartbeat()
+		held.Fronts = h.persistedFrontCount
 		// The store writes in order: once this is on disk, so is all before it.
-		s := h.acc.State
-		h.cellar.PutAll(stateRecords(s, s.Version, s.TakenSeq), func(e error) {
+		s := h.acceptor.State
+		h.store.PutAll(stateRecords(s, s.Version, s.TakenSeq), func(e error) {
 			if e == nil {
-				h.desk.post(func() { h.acc.StateSynced(s.Slot); h.wakeKept() })
+				h.loop.Submit(func() { h.acceptor.StateSynced(s.Slot); h.wakeDurabilityWaiters() })
 			}
 			done <- e
 		})
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3)):
+	case <-time.After(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3)):
 		err = errors.New("the disk takes too long")
 	}
 	return held, err
 }
 
-// confirm sees to it that another hut has s, or something newer, on its disk.
-func (h *hut) confirm(ip string, s consensus.State, until time.Time) (held beat, ok bool) {
-	addr := h.n.set().RopeAddr(ip)
+// ensureDurableAt sees to it that another hut has s, or something newer, on its disk.
+func (h *ControlServer) ensureDurableAt(ip string, s consensus.State, until time.Time) (held Heartbeat, ok bool) {
+	addr := h.host.set().RopeAddr(ip)
 	for try := 0; ; try++ {
-		within := min(h.n.heartbeat(0.6), time.Until(until))
+		within := min(h.host.heartbeat(0.6), time.Until(until))
 		if within <= 0 {
 			return held, false
 		}
-		err := h.n.call.Ask(addr, pathKeep, struct{}{}, &held, within)
+		err := h.host.call.Ask(addr, PathPersist, struct{}{}, &held, within)
 		if err == nil && held.Slot >= s.Slot {
-			h.desk.post(func() { h.depot.Confirm(ip, held.Slot) })
+			h.loop.Submit(func() { h.handoff.Confirm(ip, held.Slot) })
 			return held, true
 		}
 		if err == nil {
-			h.teach(ip, held.Slot, within)
+			h.sendState(ip, held.Slot, within)
 		} else {
-			time.Sleep(min(h.n.heartbeat(0.05), max(0, time.Until(until))))
+			time.Sleep(min(h.host.heartbeat(0.05), max(0, time.Until(until))))
 		}
 	}
 }
 
-// chaseTries bounds how often a voter is told again of one slot.
-const chaseTries = 8
+// maxResends bounds how often a voter is told again of one slot.
+const maxResends = 8
 
-// chase tells a voter again that did not confirm a decided slot; what comes
+// resendState tells a voter again that did not confirm a decided slot; what comes
 // later than this is left to the beats.
-func (h *hut) chase(ip string, s consensus.State) {
-	for try := 0; try < chaseTries; try++ {
+func (h *ControlServer) resendState(ip string, s consensus.State) {
+	for try := 0; try < maxResends; try++ {
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
-		case <-time.After(h.n.heartbeat(0.1)):
+		case <-time.After(h.host.heartbeat(0.1)):
 		}
 		owed := false
-		h.desk.ask(func() {
-			owed = h.acc.State.Slot == s.Slot && s.Votes(h.voterAt(ip)) && !h.depot.Holds(ip, s.Slot)
+		h.loop.Call(func() {
+			owed = h.acceptor.State.Slot == s.Slot && s.Votes(h.voterIDAt(ip)) && !h.handoff.Holds(ip, s.Slot)
 		})
 		if !owed {
 			return
 		}
-		if held := h.teach(ip, s.Slot-1, h.n.heartbeat(0.3)); held >= 0 {
-			h.desk.post(func() { h.depot.Confirm(ip, held) })
+		if held := h.sendState(ip, s.Slot-1, h.host.heartbeat(0.3)); held >= 0 {
+			h.loop.Submit(func() { h.handoff.Confirm(ip, held) })
 		}
 	}
 }
 
-// voterAt is the identity that votes at an address; it runs on the desk.
-func (h *hut) voterAt(ip string) string {
-	for _, v := range h.acc.State.Voters {
+// voterIDAt is the identity that votes at an address; it runs on the desk.
+func (h *ControlServer) voterIDAt(ip string) string {
+	for _, v := range h.acceptor.State.Voters {
 		if v.IP == ip {
 			return v.ID
 		}
@@ -131,39 +133,39 @@
 }
 
 // joinLoop asks for a vote as long as this node has none, after catching up.
-func (h *hut) joinLoop() {
-	wait := h.n.heartbeat(0.05)
+func (h *ControlServer) joinLoop() {
+	wait := h.host.heartbeat(0.05)
 	for {
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
 		case <-time.After(time.Duration(float64(wait) * (0.5 + rand.Float64()))):
 		}
-		wait = h.n.heartbeat(0.25)
-		if s := h.state(); s.Votes(h.acc.ID) || h.n.leaving.Load() {
+		wait = h.host.heartbeat(0.25)
+		if s := h.State(); s.Votes(h.acceptor.ID) || h.host.leaving.Load() {
 			continue
 		}
 		if judges := h.catchUp(); len(judges) > 0 {
-			h.askVote(judges)
+			h.requestVote(judges)
 		}
 	}
 }
 
-// scouted is a hut that answered.
-type scouted struct {
+// peekedPeer is a hut that answered.
+type peekedPeer struct {
 	ip  string
-	say peekSay
+	say PeekResponse
 }
 
-// scout asks all known huts at once what they hold, and waits a little longer
+// peekPeers asks all known huts at once what they hold, and waits a little longer
 // than for the first answer.
-func (h *hut) scout() (out []scouted) {
-	ips := slices.DeleteFunc(h.n.huts(), func(ip string) bool { return ip == h.n.set().IpAddress })
-	in := make(chan *scouted, len(ips))
+func (h *ControlServer) peekPeers() (out []peekedPeer) {
+	ips := slices.DeleteFunc(h.host.huts(), func(ip string) bool { return ip == h.host.set().IpAddress })
+	in := make(chan *peekedPeer, len(ips))
 	for _, ip := range ips {
 		go func() {
-			x := scouted{ip: ip}
-			if h.n.call.Ask(h.n.set().RopeAddr(ip), pathPeek, struct{}{}, &x.say, h.n.heartbeat(0.8)) != nil {
+			x := peekedPeer{ip: ip}
+			if h.host.call.Ask(h.host.set().RopeAddr(ip), PathPeek, struct{}{}, &x.say, h.host.heartbeat(0.8)) != nil {
 				in <- nil
 				return
 			}
@@ -179,7 +181,7 @@
 			}
 			out = append(out, *x)
 			if late == nil {
-				late = time.After(h.n.heartbeat(0.15))
+				late = time.After(h.host.heartbeat(0.15))
 			}
 		case <-late:
 			return out
@@ -190,34 +192,34 @@
 
 // catchUp takes the newest state that a hut in reach has, and lists the voters
 // among those that answered, the ones that know most first.
-func (h *hut) catchUp() (judges []string) {
-	seen := h.scout()
-	slices.SortStableFunc(seen, func(a, b scouted) int { return int(b.say.Slot - a.say.Slot) })
-	s := h.state()
+func (h *ControlServer) catchUp() (judges []string) {
+	seen := h.peekPeers()
+	slices.SortStableFunc(seen, func(a, b peekedPeer) int { return int(b.say.Slot - a.say.Slot) })
+	s := h.State()
 	for _, x := range seen {
 		if len(s.Voters) > 0 && x.say.Slot <= s.Slot {
 			break
 		}
 		slot, fits := int64(0), false
 		for _, at := range []int64{s.Slot, consensus.Nothing} {
-			var got news
+			var got StateDelta
 			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
 				continue
 			}
-			if h.n.call.Ask(h.n.set().RopeAddr(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.host.call.Ask(h.host.set().RopeAddr(x.ip), PathState, StateRequest{at}, &got, h.host.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
-			h.desk.ask(func() { fits = h.takeNews(&got, "caught up") })
+			h.loop.Call(func() { fits = h.applyStateDelta(&got, "caught up") })
 		}
 		if !fits {
 			continue
 		}
-		if h.kept() < slot {
+		if h.waitDurable() < slot {
 			return nil
 		}
 		events.Log(events.CaughtUp, "slot", slot, "from", x.ip)
-		s = h.state()
+		s = h.State()
 		break
 	}
 	for _, x := range seen {
@@ -228,8 +230,8 @@
 	return judges
 }
 
-// askVote asks the judges for a vote: the next one as well when one takes long.
-func (h *hut) askVote(judges []string) {
+// requestVote asks the judges for a vote: the next one as well when one takes long.
+func (h *ControlServer) requestVote(judges []string) {
 	in := make(chan bool, len(judges))
 	asked, said := 0, 0
 	for said < len(judges) {
@@ -237,8 +239,8 @@
 			ip := judges[asked]
 			asked++
 			go func() {
-				var say joinSay
-				err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.4))
+				var say JoinResponse
+				err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathJoin, JoinRequest{h.acceptor.ID, h.host.set().IpAddress, h.waitDurable()}, &say, config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.4))
 				events.Log(events.JoinAsked, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
@@ -249,22 +251,22 @@
 			if votes {
 				return
 			}
-		case <-time.After(h.n.heartbeat(0.8)):
-			if h.state().Votes(h.acc.ID) {
+		case <-time.After(h.host.heartbeat(0.8)):
+			if h.State().Votes(h.acceptor.ID) {
 				return
 			}
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
 		}
 	}
 }
 
-// canvass asks the voters and the newcomer, and judges.
-func (h *hut) canvass(m joinAsk, s consensus.State) ([]consensus.Voter, membership.Verdict) {
-	c := membership.Case{Self: h.acc.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, Held: m.Slot, Wanted: h.wanted(), Left: map[string]bool{}, Voters: []membership.Say{h.sayMembers()}}
-	h.desk.ask(func() {
+// evaluateJoin asks the voters and the newcomer, and judges.
+func (h *ControlServer) evaluateJoin(m JoinRequest, s consensus.State) ([]consensus.Voter, membership.Verdict) {
+	c := membership.Case{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, Held: m.Slot, Wanted: h.targetVoters(), Left: map[string]bool{}, Voters: []membership.Say{h.memberReport()}}
+	h.loop.Call(func() {
 		for _, v := range s.Voters {
-			if o, ok := h.others[v.IP]; ok && o.id == v.ID && o.leaving {
+			if o, ok := h.peers[v.IP]; ok && o.id == v.ID && o.leaving {
 				c.Left[v.ID] = true
 			}
 		}
@@ -275,7 +277,7 @@
 	}
 	ips := []string{m.IP}
 	for _, v := range s.Voters {
-		if v.ID != h.acc.ID && v.IP != m.IP {
+		if v.ID != h.acceptor.ID && v.IP != m.IP {
 			ips = append(ips, v.IP)
 		}
 	}
@@ -283,7 +285,7 @@
 	for _, ip := range ips {
 		go func() {
 			var say membership.Say
-			if h.n.call.Ask(h.n.set().RopeAddr(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
+			if h.host.call.Ask(h.host.set().RopeAddr(ip), PathSilentVoters, struct{}{}, &say, h.host.heartbeat(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
 			}
@@ -311,50 +313,50 @@
 // handleJoin gives a node a vote, if there is a place for it: the newcomer has
 // the state that the change is proposed on, on its disk, before it is proposed,
 // and a majority of the new voters has the change on disk before it is told.
-func (h *hut) handleJoin(m joinAsk) joinSay {
+func (h *ControlServer) handleJoin(m JoinRequest) JoinResponse {
 	if m.ID == "" || m.IP == "" {
-		return joinSay{}
+		return JoinResponse{}
 	}
-	until := time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.35))
+	until := time.Now().Add(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.35))
 	for try := 0; time.Now().Before(until); try++ {
-		s := h.state()
-		voters, v := h.canvass(m, s)
+		s := h.State()
+		voters, v := h.evaluateJoin(m, s)
 		switch v {
 		case membership.Seated:
-			return joinSay{Votes: h.seated(s, until), Slot: s.Slot}
+			return JoinResponse{Votes: h.majorityDurable(s, until), Slot: s.Slot}
 		case membership.Behind:
-			h.round(s, nil)
+			h.propose(s, nil)
 			continue
 		}
 		if voters == nil {
-			return joinSay{Slot: s.Slot}
+			return JoinResponse{Slot: s.Slot}
 		}
-		h.desk.ask(func() {
-			if o, ok := h.others[m.IP]; !ok || o.id != m.ID {
-				h.others[m.IP] = hutSeen{id: m.ID, at: h.n.steady()}
+		h.loop.Call(func() {
+			if o, ok := h.peers[m.IP]; !ok || o.id != m.ID {
+				h.peers[m.IP] = peerState{id: m.ID, heardAt: h.host.steady()}
 			}
 		})
 		// Most of it is handed over before orders have to wait for it.
-		if held, ok := h.confirm(m.IP, s, until); !ok || held.ID != m.ID {
-			return joinSay{Slot: s.Slot}
+		if held, ok := h.ensureDurableAt(m.IP, s, until); !ok || held.ID != m.ID {
+			return JoinResponse{Slot: s.Slot}
 		}
-		if chosen, ok := h.seat(m, s.Voters, voters, until); ok {
-			on := h.seated(chosen, until)
+		if chosen, ok := h.changeVoters(m, s.Voters, voters, until); ok {
+			on := h.majorityDurable(chosen, until)
 			events.Log(events.PlaceGiven, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
-			return joinSay{Votes: on, Slot: chosen.Slot}
+			return JoinResponse{Votes: on, Slot: chosen.Slot}
 		}
 	}
-	return joinSay{Slot: h.state().Slot}
+	return JoinResponse{Slot: h.State().Slot}
 }
 
-// seat has the voters changed from those that the case was judged by.
-func (h *hut) seat(m joinAsk, from, to []consensus.Voter, until time.Time) (consensus.State, bool) {
-	if !h.proposing.LockFirst(time.Until(until)) {
+// changeVoters has the voters changed from those that the case was judged by.
+func (h *ControlServer) changeVoters(m JoinRequest, from, to []consensus.Voter, until time.Time) (consensus.State, bool) {
+	if !h.proposalLock.LockUrgent(time.Until(until)) {
 		return consensus.State{}, false
 	}
-	defer h.proposing.Unlock()
+	defer h.proposalLock.Unlock()
 	for try := 0; time.Now().Before(until); try++ {
-		s := h.state()
+		s := h.State()
 		if s.Votes(m.ID) {
 			return s, true
 		}
@@ -362,11 +364,11 @@
 			return s, false
 		}
 		// On the very base: whoever votes next must have it on disk.
-		if held, ok := h.confirm(m.IP, s, earlier(until, time.Now().Add(h.n.heartbeat(0.6)))); !ok || held.ID != m.ID || held.Leaving {
+		if held, ok := h.ensureDurableAt(m.IP, s, earlier(until, time.Now().Add(h.host.heartbeat(0.6)))); !ok || held.ID != m.ID || held.Leaving {
 			return s, false
 		}
-		if !h.round(s, &consensus.Value{Voters: to}) {
-			h.pause(min(try, 2))
+		if !h.propose(s, &consensus.Value{Voters: to}) {
+			h.backOff(min(try, 2))
 		}
 	}
 	return consensus.State{}, false
@@ -379,17 +381,17 @@
 	return b
 }
 
-// seated waits until a majority of the voters has their set on disk.
-func (h *hut) seated(s consensus.State, until time.Time) bool {
+// majorityDurable waits until a majority of the voters has their set on disk.
+func (h *ControlServer) majorityDurable(s consensus.State, until time.Time) bool {
 	in := make(chan bool, len(s.Voters))
 	for _, v := range s.Voters {
 		go func() {
-			if v.ID == h.acc.ID {
-				held, err := h.keep()
+			if v.ID == h.acceptor.ID {
+				held, err := h.persistAndReport()
 				in <- err == nil && held.Slot >= s.Slot
 				return
 			}
-			held, ok := h.confirm(v.IP, s, until)
+			held, ok := h.ensureDurableAt(v.IP, s, until)
 			in <- ok && held.ID == v.ID
 		}()
 	}
@@ -405,56 +407,56 @@
 	return false
 }
 
-// losses is how many machines may be lost at once.
-func (h *hut) losses() int { return int(h.n.set().ToleratedLosses.GetMachines()) }
+// toleratedLosses is how many machines may be lost at once.
+func (h *ControlServer) toleratedLosses() int { return int(h.host.set().ToleratedLosses.GetMachines()) }
 
-// wanted is how many voters bear the losses that the settings name.
-func (h *hut) wanted() int { return 2*h.losses() + 1 }
+// targetVoters is how many voters bear the losses that the settings name.
+func (h *ControlServer) targetVoters() int { return 2*h.toleratedLosses() + 1 }
 
-// staying lists the other huts that were heard lately and don't leave; it runs on the desk.
-func (h *hut) staying() []string {
+// stayingPeers lists the other huts that were heard lately and don't leave; it runs on the desk.
+func (h *ControlServer) stayingPeers() []string {
 	var out []string
-	now := h.n.steady()
-	for ip, o := range h.others {
-		if !o.leaving && now-o.at < h.n.heartbeat(2) {
+	now := h.host.steady()
+	for ip, o := range h.peers {
+		if !o.leaving && now-o.heardAt < h.host.heartbeat(2) {
 			out = append(out, ip)
 		}
 	}
 	return out
 }
 
-// standbys counts those that stay and have no vote; it runs on the desk.
-func (h *hut) standbys() (n int) {
-	for _, ip := range h.staying() {
-		if !h.acc.State.Votes(h.others[ip].id) {
+// standbyCount counts those that stay and have no vote; it runs on the desk.
+func (h *ControlServer) standbyCount() (n int) {
+	for _, ip := range h.stayingPeers() {
+		if !h.acceptor.State.Votes(h.peers[ip].id) {
 			n++
 		}
 	}
 	return n
 }
 
-// grown waits until what was decided bears the losses to be borne: there are
+// waitReplicated waits until what was decided bears the losses to be borne: there are
 // as many voters as that takes, as far as there are nodes to vote, and enough
 // of those that hold it stay. A node that has been up for long without seeing
 // the others come settles for those that are there.
-func (h *hut) grown(until time.Time) bool {
-	slot := h.state().Slot
+func (h *ControlServer) waitReplicated(until time.Time) bool {
+	slot := h.State().Slot
 	for {
 		enough := false
-		h.desk.ask(func() {
-			s := h.acc.State
+		h.loop.Call(func() {
+			s := h.acceptor.State
 			leaving, held := 0, 0
 			for _, v := range s.Voters {
-				o := h.others[v.IP]
+				o := h.peers[v.IP]
 				switch {
-				case v.ID == h.acc.ID && h.n.leaving.Load(), v.ID != h.acc.ID && o.id == v.ID && o.leaving:
+				case v.ID == h.acceptor.ID && h.host.leaving.Load(), v.ID != h.acceptor.ID && o.id == v.ID && o.leaving:
 					leaving++
-				case v.ID == h.acc.ID, o.id == v.ID && h.depot.Holds(v.IP, slot):
+				case v.ID == h.acceptor.ID, o.id == v.ID && h.handoff.Holds(v.IP, slot):
 					held++
 				}
 			}
-			young := h.n.steady() <= config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.75)
-			enough = membership.Enough(len(s.Voters), leaving, h.standbys(), held, h.losses(), young)
+			young := h.host.steady() <= config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.75)
+			enough = membership.Enough(len(s.Voters), leaving, h.standbyCount(), held, h.toleratedLosses(), young)
 		})
 		if enough {
 			return true
@@ -462,70 +464,70 @@
 		if time.Now().After(until) {
 			return false
 		}
-		time.Sleep(h.n.heartbeat(0.05))
+		time.Sleep(h.host.heartbeat(0.05))
 	}
 }
 
-// leave hands over what this node holds, and goes on answering meanwhile. In
+// Drain hands over what this node holds, and goes on answering meanwhile. In
 // its last part it takes no more orders, so that none is acknowledged here
 // that nobody else has.
-func (h *hut) leave(start time.Time, grace time.Duration) {
+func (h *ControlServer) Drain(start time.Time, grace time.Duration) {
 	at := func(ratio float64) time.Time { return start.Add(time.Duration(float64(grace) * ratio)) }
-	h.desk.ask(h.announce)
-	h.finishBegun(at(0.15))
-	h.yield()
-	h.handOff(at(0.5))
+	h.loop.Call(h.notifyWatchers)
+	h.finishAccepted(at(0.15))
+	h.resignLease()
+	h.handOffAll(at(0.5))
 	h.closing.Store(true)
-	for h.orders.Load() > 0 && time.Now().Before(at(0.58)) {
-		time.Sleep(h.n.heartbeat(0.01))
+	for h.ordersInFlight.Load() > 0 && time.Now().Before(at(0.58)) {
+		time.Sleep(h.host.heartbeat(0.01))
 	}
-	p := h.handOff(at(0.66))
+	p := h.handOffAll(at(0.66))
 	events.Log(events.HandedOff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
 	time.Sleep(time.Until(at(1.0 / 3)))
-	h.cellar.Close(grace / 4)
+	h.store.Close(grace / 4)
 }
 
-// finishBegun has the open slot decided where this node accepted a value for
+// finishAccepted has the open slot decided where this node accepted a value for
 // it: before others hear that it leaves and have its place changed by that slot.
-func (h *hut) finishBegun(until time.Time) {
+func (h *ControlServer) finishAccepted(until time.Time) {
 	for try := 0; time.Now().Before(until); try++ {
 		var s consensus.State
 		begun := false
-		h.desk.ask(func() { s, begun = h.acc.State, h.acc.Value != nil })
-		if !begun || h.apart() {
+		h.loop.Call(func() { s, begun = h.acceptor.State, h.acceptor.Value != nil })
+		if !begun || h.isolated() {
 			return
 		}
-		if !h.round(s, nil) {
-			h.pause(try)
+		if !h.propose(s, nil) {
+			h.backOff(try)
 		}
 	}
 }
 
-// handOff brings to the others what this node holds, until all of it is on
+// handOffAll brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *hut) handOff(until time.Time) (p membership.Part) {
+func (h *ControlServer) handOffAll(until time.Time) (p membership.Part) {
 	finish := make(chan struct{}, 1)
 	for {
 		var s consensus.State
 		var to []string
-		var mine beat
-		h.desk.ask(func() {
-			s, to, mine = h.acc.State, h.staying(), h.beat()
-			p = membership.Part{Begun: h.acc.Value != nil, Votes: s.Votes(h.acc.ID), Standby: h.standbys() > 0, Others: len(to), Losses: h.losses()}
+		var mine Heartbeat
+		h.loop.Call(func() {
+			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
+			p = membership.Part{Begun: h.acceptor.Value != nil, Votes: s.Votes(h.acceptor.ID), Standby: h.standbyCount() > 0, Others: len(to), Losses: h.toleratedLosses()}
 		})
 		if p.Begun {
 			select {
 			case finish <- struct{}{}:
-				go func() { h.round(s, nil); <-finish }()
+				go func() { h.propose(s, nil); <-finish }()
 			default:
 			}
 		}
-		h.beatAll()
-		in := make(chan *beat, len(to))
-		by := earlier(until, time.Now().Add(h.n.heartbeat(0.5)))
+		h.sendHeartbeats()
+		in := make(chan *Heartbeat, len(to))
+		by := earlier(until, time.Now().Add(h.host.heartbeat(0.5)))
 		for _, ip := range to {
 			go func() {
-				held, ok := h.confirm(ip, s, by)
+				held, ok := h.ensureDurableAt(ip, s, by)
 				if !ok {
 					in <- nil
 					return
@@ -549,6 +551,6 @@
 		if p.Handed() || !time.Now().Before(until) {
 			return p
 		}
-		time.Sleep(min(h.n.heartbeat(0.05), max(0, time.Until(until))))
+		time.Sleep(min(h.host.heartbeat(0.05), max(0, time.Until(until))))
 	}
 }
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -28,10 +28,10 @@
 	return w
 }
 
-func (w *town) hut(n int) *hut { return w.nodes[fmt.Sprint(n)].hut }
+func (w *town) hut(n int) *ControlServer { return w.nodes[fmt.Sprint(n)].hut }
 
 // votes tells whether hut n has a vote, as hut by knows it.
-func (w *town) votes(by, n int) bool { return w.hut(by).state().Votes(w.hut(n).acc.ID) }
+func (w *town) votes(by, n int) bool { return w.hut(by).State().Votes(w.hut(n).acceptor.ID) }
 
 // wipe ends a node at once and takes its disk.
 func (w *town) wipe(n int) {
@@ -43,7 +43,7 @@
 // that returns the newest acknowledged version.
 func (w *town) storm(huts ...int) (end func() int64) {
 	// Looked up once: the town's nodes change meanwhile.
-	var at []*hut
+	var at []*ControlServer
 	for _, n := range huts {
 		at = append(at, w.hut(n))
 	}
@@ -52,9 +52,9 @@
 	// There is never a moment without an order that waits for its turn.
 	endTurns := repeat(3*len(at), func(i int) {
 		h := at[i%len(at)]
-		h.proposing.Lock()
+		h.proposalLock.Lock()
 		time.Sleep(5 * time.Millisecond)
-		h.proposing.Unlock()
+		h.proposalLock.Unlock()
 	})
 	endOrders := repeat(8, func(i int) {
 		n := huts[i%len(huts)]
@@ -62,7 +62,7 @@
 			_, _ = w.operate(n, "POST", "/-/purge", "", `{"Tag":"x"}`)
 			return
 		}
-		on := at[i%len(at)].state().Version
+		on := at[i%len(at)].State().Version
 		if st, _ := w.control(n, "PUT", fmt.Sprint(on), configBody(int(on)+1+i, "s1")); st == 200 {
 			mu.Lock()
 			newest = max(newest, on+1+int64(i))
@@ -80,7 +80,7 @@
 	end := w.storm(1, 2)
 	time.Sleep(200 * time.Millisecond)
 	w.stop("3")
-	time.Sleep(w.hut(1).longSilence())
+	time.Sleep(w.hut(1).replacementTimeout())
 	at := time.Now()
 	w.run(4, false, 1, 2)
 	for !w.votes(4, 4) {
@@ -113,8 +113,8 @@
 	if st, body := w.control(3, "GET", "", ""); st != 200 || !strings.HasPrefix(body, `{"Version":`) {
 		t.Fatalf("%d %s", st, body)
 	}
-	time.Sleep(w.hut(1).longSilence())
-	if s := w.hut(2).state(); w.hut(3).status().Polling || !s.Votes(w.hut(1).acc.ID) || !s.Votes(w.hut(4).acc.ID) || len(s.Voters) != 3 {
+	time.Sleep(w.hut(1).replacementTimeout())
+	if s := w.hut(2).State(); w.hut(3).Status().Polling || !s.Votes(w.hut(1).acceptor.ID) || !s.Votes(w.hut(4).acceptor.ID) || len(s.Voters) != 3 {
 		t.Fatalf("it has a place or a duty: %v", s.Voters)
 	}
 }
@@ -128,17 +128,17 @@
 	go func() {
 		defer close(deaf)
 		for {
-			h.desk.ask(func() {
-				now := h.n.steady()
-				h.watch = membership.NewWatch(time.Hour, 0)
+			h.loop.Call(func() {
+				now := h.host.steady()
+				h.detector = membership.NewWatch(time.Hour, 0)
 				var ids []string
-				for _, v := range h.acc.State.Voters {
+				for _, v := range h.acceptor.State.Voters {
 					ids = append(ids, v.ID)
 				}
-				h.watch.Seat(ids, -time.Hour)
-				for _, v := range h.acc.State.Voters {
+				h.detector.Seat(ids, -time.Hour)
+				for _, v := range h.acceptor.State.Voters {
 					if v.IP != w.ip(3) {
-						h.watch.Hear(v.ID, now)
+						h.detector.Hear(v.ID, now)
 					}
 				}
 			})
@@ -151,17 +151,17 @@
 	}()
 	defer func() { close(stop); <-deaf }()
 	w.run(4, false, 1)
-	w.eventually("hut 1 calls hut 3 silent", func() bool { return len(h.sayMembers().Silent) == 1 })
-	w.eventually("the newcomer is caught up", func() bool { return w.hut(4).state().Version == 3 })
-	say := h.handleJoin(joinAsk{w.hut(4).acc.ID, w.ip(4), w.hut(4).kept()})
+	w.eventually("hut 1 calls hut 3 silent", func() bool { return len(h.memberReport().Silent) == 1 })
+	w.eventually("the newcomer is caught up", func() bool { return w.hut(4).State().Version == 3 })
+	say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()})
 	time.Sleep(700 * time.Millisecond)
 	if say.Votes || w.votes(2, 4) || !w.votes(2, 3) {
-		t.Fatalf("replaced by one node's timer: %v", w.hut(2).state().Voters)
+		t.Fatalf("replaced by one node's timer: %v", w.hut(2).State().Voters)
 	}
 	// With hut 3 really gone, one node that has no majority replaces nobody either.
 	w.stop("3")
 	w.stop("2")
-	if say := h.handleJoin(joinAsk{w.hut(4).acc.ID, w.ip(4), w.hut(4).kept()}); say.Votes {
+	if say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()}); say.Votes {
 		t.Fatal("a vote given without a majority")
 	}
 }
@@ -171,7 +171,7 @@
 	w.t.Helper()
 	w.eventually(fmt.Sprint("all hold version ", version), func() bool {
 		for _, k := range huts {
-			if w.hut(k).state().Version != version {
+			if w.hut(k).State().Version != version {
 				return false
 			}
 		}
@@ -190,15 +190,15 @@
 	w.at(3, 1, 2, 3, 4)
 	h := w.hut(3)
 	var stamp endpoints.Stamp
-	m := cairnAsk{Ask: consensus.Ask{Slot: h.state().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: configBody(9, "s1"), Sent: "x"}}}
+	m := ConsensusRequest{Ask: consensus.Ask{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: configBody(9, "s1"), Sent: "x"}}}
 	for _, k := range []int{1, 3} {
-		if say, err := w.hut(k).vote(m); err != nil || !say.OK {
+		if say, err := w.hut(k).handleConsensus(m); err != nil || !say.OK {
 			t.Errorf("hut %d has not accepted: %+v %v", k, say, err)
 		}
 	}
-	h.desk.ask(func() {
-		h.counted, h.frontsKept = 7, 7
-		stamp = endpoints.Stamp{Epoch: h.duty.Epoch + 5, By: h.acc.ID, Seq: 1}
+	h.loop.Call(func() {
+		h.frontCount, h.persistedFrontCount = 7, 7
+		stamp = endpoints.Stamp{Epoch: h.pollLease.Epoch + 5, By: h.acceptor.ID, Seq: 1}
 		list := []endpoints.Searcher{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
 		table, _ := endpoints.Next(h.table, list, stamp)
 		h.setTable(table)
@@ -236,19 +236,19 @@
 		t.Errorf("orders: %d taken, %d refused, Retry-After %q", taken, refused, retry)
 	}
 	// It knows what became of the value before it is gone.
-	h.desk.ask(func() {
-		if h.acc.Value != nil || h.acc.State.Version != 9 {
-			t.Errorf("it left with something begun, at version %d", h.acc.State.Version)
+	h.loop.Call(func() {
+		if h.acceptor.Value != nil || h.acceptor.State.Version != 9 {
+			t.Errorf("it left with something begun, at version %d", h.acceptor.State.Version)
 		}
 	})
 	for _, k := range []int{2, 4} {
-		s := w.hut(k).state()
-		if s.Version != 9 || s.Votes(n.hut.acc.ID) || !s.Votes(w.hut(4).acc.ID) {
+		s := w.hut(k).State()
+		if s.Version != 9 || s.Votes(n.hut.acceptor.ID) || !s.Votes(w.hut(4).acceptor.ID) {
 			t.Errorf("hut %d: version %d, voters %v", k, s.Version, s.Voters)
 		}
 		var kept int
 		var at endpoints.Stamp
-		w.hut(k).desk.ask(func() { kept, at = w.hut(k).frontsKept, w.hut(k).table.Stamp })
+		w.hut(k).loop.Call(func() { kept, at = w.hut(k).persistedFrontCount, w.hut(k).table.Stamp })
 		if kept < 7 {
 			t.Errorf("hut %d: %d fronts", k, kept)
 		}
@@ -260,7 +260,7 @@
 		st, body := w.control(4, "GET", "", "")
 		return st == 200 && body == configBody(9, "s1")
 	})
-	n.hut.desk.close()
+	n.hut.loop.Close()
 }
 
 // All leave at once: nobody waits for another without bound, and none hands its
@@ -268,8 +268,8 @@
 func TestAllLeaveAtOnce(t *testing.T) {
 	w := core(t, 1, 1, 2, 3)
 	w.run(4, false, 1)
-	w.eventually("the fourth stands by", func() bool { return w.hut(4).state().Version == 3 })
-	before := w.hut(1).state().Slot
+	w.eventually("the fourth stands by", func() bool { return w.hut(4).State().Version == 3 })
+	before := w.hut(1).State().Slot
 	var all sync.WaitGroup
 	for _, name := range []string{"1", "2", "3", "4"} {
 		n := w.nodes[name]
@@ -283,10 +283,10 @@
 			if took := time.Since(at); took > time.Second {
 				t.Errorf("hut %s took %v", name, took)
 			}
-			if s := n.hut.state(); s.Slot != before {
+			if s := n.hut.State(); s.Slot != before {
 				t.Errorf("hut %s: a place was given: %v", name, s.Voters)
 			}
-			n.hut.desk.close()
+			n.hut.loop.Close()
 		}()
 	}
 	all.Wait()
@@ -322,13 +322,13 @@
 }
 
 func TestTurns(t *testing.T) {
-	var u turns
+	var u proposalLock
 	u.Lock()
 	got := make(chan string, 3)
 	wait := func(what string, n int) {
 		for {
 			u.mu.Lock()
-			k := len(u.first) + len(u.line)
+			k := len(u.urgent) + len(u.waiting)
 			u.mu.Unlock()
 			if k == n {
 				return
@@ -338,12 +338,12 @@
 	}
 	go func() { u.Lock(); got <- "order"; u.Unlock() }()
 	wait("order", 1)
-	go func() { u.LockFirst(time.Minute); got <- "join"; u.Unlock() }()
+	go func() { u.LockUrgent(time.Minute); got <- "join"; u.Unlock() }()
 	wait("join", 2)
-	if u.TryLock() || u.LockFirst(time.Millisecond) {
+	if u.TryLock() || u.LockUrgent(time.Millisecond) {
 		t.Fatal("two have the turn")
 	}
-	u.Yield()
+	u.YieldToUrgent()
 	if a, b := <-got, <-got; a != "join" || b != "order" {
 		t.Fatal(a, b)
 	}
@@ -358,22 +358,22 @@
 func TestVotesAreOnDiskFirst(t *testing.T) {
 	w := core(t, 1, 1, 2, 3)
 	w.run(4, false, 1)
-	w.eventually("the newcomer stands by", func() bool { return w.hut(4).state().Version == 3 })
+	w.eventually("the newcomer stands by", func() bool { return w.hut(4).State().Version == 3 })
 	h := w.hut(1)
-	s := h.state()
-	if !h.seated(s, time.Now().Add(time.Second)) {
+	s := h.State()
+	if !h.majorityDurable(s, time.Now().Add(time.Second)) {
 		t.Fatal("a set that all have is not on disk")
 	}
-	w.hut(4).cellar.Close(time.Second)
+	w.hut(4).store.Close(time.Second)
 	w.stop("3")
 	w.eventually("the lost one's place is free", func() bool {
-		return len(h.sayMembers().Silent) == 1 && len(w.hut(2).sayMembers().Silent) == 1
+		return len(h.memberReport().Silent) == 1 && len(w.hut(2).memberReport().Silent) == 1
 	})
-	if say := h.handleJoin(joinAsk{w.hut(4).acc.ID, w.ip(4), w.hut(4).kept()}); say.Votes || w.votes(1, 4) || w.votes(2, 4) {
+	if say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()}); say.Votes || w.votes(1, 4) || w.votes(2, 4) {
 		t.Fatal("a vote for one whose disk takes nothing")
 	}
-	w.hut(2).cellar.Close(time.Second)
-	if h.seated(s, time.Now().Add(300*time.Millisecond)) {
+	w.hut(2).store.Close(time.Second)
+	if h.majorityDurable(s, time.Now().Add(300*time.Millisecond)) {
 		t.Fatal("one disk of three is called a majority")
 	}
 }
@@ -385,12 +385,12 @@
 	w.at(3, 1, 2, 3)
 	h := w.hut(2)
 	body := configBody(9, "s1")
-	m := cairnAsk{Ask: consensus.Ask{Slot: h.state().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body}}}
-	if say, err := h.vote(m); err != nil || !say.OK {
+	m := ConsensusRequest{Ask: consensus.Ask{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body}}}
+	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
 	w.at(9, 1, 2, 3)
-	if s := w.hut(3).state(); s.Body != body {
+	if s := w.hut(3).State(); s.Body != body {
 		t.Errorf("the outcome is %s", s.Body)
 	}
 }
@@ -401,19 +401,19 @@
 	w := core(t, 1, 1, 2, 3)
 	w.at(3, 1, 2, 3)
 	h, n, body := w.hut(3), w.nodes["3"], configBody(9, "s1")
-	m := cairnAsk{Ask: consensus.Ask{Slot: h.state().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
-	if say, err := h.vote(m); err != nil || !say.OK {
+	m := ConsensusRequest{Ask: consensus.Ask{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
+	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
 	// An order has the turn all the while.
-	h.proposing.Lock()
-	defer h.proposing.Unlock()
+	h.proposalLock.Lock()
+	defer h.proposalLock.Unlock()
 	delete(w.nodes, "3")
 	n.drain()
 	for _, k := range []int{1, 2} {
-		if s := w.hut(k).state(); s.Version != 9 || s.Body != body {
+		if s := w.hut(k).State(); s.Version != 9 || s.Body != body {
 			t.Errorf("hut %d is at version %d", k, s.Version)
 		}
 	}
-	h.desk.close()
+	h.loop.Close()
 }
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -11,77 +11,77 @@
 
 // Paths of the calls between nodes.
 const (
-	pathCairn   = "/rope/cairn"
-	pathLearn   = "/rope/learn"
-	pathState   = "/rope/state"
-	pathVersion = "/rope/version"
-	pathBeat    = "/rope/beat"
-	pathTable   = "/rope/table"
-	pathJoin    = "/rope/join"
-	pathSilent  = "/rope/silent"
-	pathKeep    = "/rope/keep"
-	pathWatch   = "/rope/watch"
-	pathShuffle = "/rope/shuffle"
-	pathRoll    = "/rope/roll"
-	pathLarder  = "/rope/larder"
-	pathEnlist  = "/rope/enlist"
-	pathPeek    = "/rope/peek"
-	pathSaddle  = "/rope/saddle"
-	pathBid     = "/rope/bid"
-	pathFetch   = "/rope/fetch"
-	pathHearsay = "/rope/hearsay"
-	pathTally   = "/rope/tally"
-	pathLedger  = "/rope/ledger"
-	pathStatus  = "/rope/status"
-	pathConfig  = "/-/configuration"
-	pathPurge   = "/-/purge"
-	pathRollout = "/-/rollouts"
+	PathConsensus     = "/rope/cairn"
+	PathLearn         = "/rope/learn"
+	PathState         = "/rope/state"
+	PathVersion       = "/rope/version"
+	PathHeartbeat     = "/rope/beat"
+	PathTable         = "/rope/table"
+	PathJoin          = "/rope/join"
+	PathSilentVoters  = "/rope/silent"
+	PathPersist       = "/rope/keep"
+	PathWatch         = "/rope/watch"
+	PathShuffle       = "/rope/shuffle"
+	PathFrontRoster   = "/rope/roll"
+	PathCacheFetch    = "/rope/larder"
+	PathCacheJoin     = "/rope/enlist"
+	PathPeek          = "/rope/peek"
+	PathRelay         = "/rope/saddle"
+	PathLease         = "/rope/bid"
+	PathTableFetch    = "/rope/fetch"
+	PathUnreachable   = "/rope/hearsay"
+	PathRolloutReport = "/rope/tally"
+	PathRolloutTotals = "/rope/ledger"
+	PathStatus        = "/rope/status"
+	PathConfiguration = "/-/configuration"
+	PathPurge         = "/-/purge"
+	PathRollouts      = "/-/rollouts"
 )
 
-// learnAsk tells that a slot is decided: by a ballot whose value the
+// LearnRequest tells that a slot is decided: by a ballot whose value the
 // receiver may have accepted itself, or with what it lacks.
-type learnAsk struct {
+type LearnRequest struct {
 	Slot   int64
 	Ballot consensus.Ballot
-	News   *news `json:",omitempty"`
+	News   *StateDelta `json:",omitempty"`
 }
 
-// learnSay names the last slot that is on the receiver's disk.
-type learnSay struct {
+// LearnResponse names the last slot that is on the receiver's disk.
+type LearnResponse struct {
 	Slot int64
 }
 
-// peekSay is what a read of the newest version asks voters for.
-type peekSay struct {
+// PeekResponse is what a read of the newest version asks voters for.
+type PeekResponse struct {
 	ID   string
 	Slot int64
 	// Begun: something was accepted for the open slot.
 	Begun bool
 }
 
-// stateAsk asks for news by whoever is at a slot, or at cairn.Nothing.
-type stateAsk struct {
+// StateRequest asks for news by whoever is at a slot, or at cairn.Nothing.
+type StateRequest struct {
 	Slot int64
 }
 
-// versionAsk asks for the newest version; who holds an older one is sent the
+// VersionRequest asks for the newest version; who holds an older one is sent the
 // difference, if that is still known.
-type versionAsk struct {
+type VersionRequest struct {
 	Version int64
 }
 
-// headerVersion tells which version the gzipped body of an answer holds, by
+// HeaderVersion tells which version the gzipped body of an answer holds, by
 // which slot, and how many milliseconds ago that was decided. Where From is
 // above 0 the body is only what changed since that version.
-const headerVersion = "Swiftswitch-Version"
+const HeaderVersion = "Swiftswitch-Version"
 
-type versionSay struct {
+type VersionResponse struct {
 	Slot, Version, AgeMs int64
 	From                 int64               `json:",omitempty"`
 	Gone                 map[string][]string `json:",omitempty"`
 }
 
-type beat struct {
+type Heartbeat struct {
 	ID string
 	IP string
 	// Slot is the last decided slot that the node knows, Kept the last that it
@@ -99,8 +99,8 @@
 	Fronts int `json:",omitempty"`
 	// Renews are the leases that the sender holds, by duty; Granted are those
 	// that the answering node renewed.
-	Renews  map[string]renewal `json:",omitempty"`
-	Granted []string           `json:",omitempty"`
+	Renews  map[string]LeaseRenewal `json:",omitempty"`
+	Granted []string                `json:",omitempty"`
 	// Spent tells, by order, how many milliseconds of a rollout's term are over.
 	Spent map[int64]int64 `json:",omitempty"`
 	// Roll is the state of the list of fronts that watch this hut first; who
@@ -108,69 +108,69 @@
 	Roll int64
 }
 
-// renewal is a bid whose holder is the sender.
-type renewal struct {
+// LeaseRenewal is a bid whose holder is the sender.
+type LeaseRenewal struct {
 	Epoch      int64
 	Life       int64
 	VotersSlot int64 `json:",omitempty"`
 }
 
-// bidAsk asks a voter for a duty's lease, or gives it back.
-type bidAsk struct {
+// LeaseRequest asks a voter for a duty's lease, or gives it back.
+type LeaseRequest struct {
 	Bid     lease.Bid
 	Release bool `json:",omitempty"`
 }
 
-// bidSay is the voter's answer, and the newest table that it holds.
-type bidSay struct {
+// LeaseResponse is the voter's answer, and the newest table that it holds.
+type LeaseResponse struct {
 	Grant lease.Grant
 	Stamp endpoints.Stamp
 }
 
-// fetchAsk asks for what changed in the table since the one held.
-type fetchAsk struct {
+// TableFetchRequest asks for what changed in the table since the one held.
+type TableFetchRequest struct {
 	Stamp endpoints.Stamp
 }
 
-type fetchSay struct {
+type TableFetchResponse struct {
 	Delta []byte `json:",omitempty"`
 }
 
-// roll lists the fronts that watch a hut before others.
-type roll struct {
+// FrontRoster lists the fronts that watch a hut before others.
+type FrontRoster struct {
 	Roll   int64
 	Fronts []relay.Front `json:",omitempty"`
 }
 
-// hutAt is a hut and its place.
-type hutAt struct {
+// ControlNode is a hut and its place.
+type ControlNode struct {
 	IP   string
 	Zone string `json:",omitempty"`
 }
 
-type joinAsk struct {
+type JoinRequest struct {
 	ID string
 	IP string
 	// Slot is the last decided slot that the node has on disk.
 	Slot int64
 }
 
-type joinSay struct {
+type JoinResponse struct {
 	Votes bool
 	Slot  int64
 }
 
-// tableAsk brings another hut what changed in the table; tableSay tells which
+// TableRequest brings another hut what changed in the table; tableSay tells which
 // table it has then.
-type tableAsk struct {
+type TableRequest struct {
 	Delta []byte
 }
 
-type tableSay struct {
+type TableResponse struct {
 	Stamp endpoints.Stamp
 }
 
-type watchAsk struct {
+type WatchRequest struct {
 	Name  string
 	IP    string
 	Slot  int64
@@ -201,7 +201,7 @@
 	Hello bool `json:",omitempty"`
 }
 
-type watchSay struct {
+type WatchResponse struct {
 	Zone string
 	// Lone: this hut has not heard a majority of the voters lately.
 	Lone    bool `json:",omitempty"`
@@ -214,7 +214,7 @@
 	Fronts int
 	Around int `json:",omitempty"`
 	Here   int `json:",omitempty"`
-	Huts   []hutAt
+	Huts   []ControlNode
 	// Roster lists some fronts of each zone that are ready.
 	Roster []relay.Front `json:",omitempty"`
 	// Dark are searchers that several fronts get no answer from, by their
@@ -233,18 +233,18 @@
 	RolledTo int64
 }
 
-// tally is what a front saw of versions under way since its last one.
-type tally struct {
+// RolloutReport is what a front saw of versions under way since its last one.
+type RolloutReport struct {
 	Name    string
 	Life    int64
 	Seq     int64
 	Entries []rollout.Entry
 }
 
-// ledger is all that a hut was told of versions under way, for the one with
+// RolloutTotals is all that a hut was told of versions under way, for the one with
 // the duty; Behind counts, by order, the fronts it heard lately that do not
 // know the last phase.
-type ledger struct {
+type RolloutTotals struct {
 	ID      string
 	Life    int64
 	Seq     int64
@@ -252,7 +252,7 @@
 	Behind  map[int64]int `json:",omitempty"`
 }
 
-type shuffle struct {
+type ShuffleMessage struct {
 	Nodes []peersampling.Node
 }
 
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -29,16 +29,16 @@
 	leaving  atomic.Bool
 	sockets  []net.Listener
 
-	view *desk
+	view *Loop
 	way  *peersampling.View
 	// Owned by the view's desk as well.
 	vigil   vigil
 	unheard unheard
 
-	hut   *hut
-	trail *trail
+	hut   *ControlServer
+	trail *FrontServer
 	// kitchen: the node keeps copies for the fronts.
-	kitchen *kitchen
+	kitchen *Fetcher
 }
 
 func (n *Node) set() *config.Settings { return n.settings.Load() }
@@ -85,19 +85,19 @@
 	n := &Node{path: path, born: time.Now(), stop: make(chan struct{}), options: options}
 	n.settings.Store(s)
 	n.call = transport.NewClient(16, config.Ms(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
-	n.view = newDesk()
+	n.view = NewLoop()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
-	n.way = peersampling.New(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleLarder}, 8, 3)
+	n.way = peersampling.New(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
 	var err error
-	keeps := options.Role == RoleLarder
+	keeps := options.Role == RoleCache
 	if s.HasDisk() && !keeps {
-		if n.hut, err = newHut(n); err != nil {
+		if n.hut, err = NewControlServer(n); err != nil {
 			return nil, err
 		}
 	}
 	if slices.Contains(s.Serves, "front") || keeps {
-		if n.trail, err = newTrail(n, options); err != nil {
+		if n.trail, err = NewFrontServer(n, options); err != nil {
 			return nil, err
 		}
 	}
@@ -106,15 +106,15 @@
 
 // begin listens and starts the controllers.
 func (n *Node) begin() bool {
-	n.view.ask(n.look)
+	n.view.Call(n.look)
 	if !n.serve() {
 		return false
 	}
 	if n.hut != nil {
-		n.hut.start()
+		n.hut.Start()
 	}
 	if n.trail != nil {
-		n.trail.start()
+		n.trail.Start()
 	}
 	go n.shuffleLoop()
 	go n.vigilLoop()
@@ -170,36 +170,36 @@
 // handleRope takes the calls of other nodes, and control calls as well.
 func (n *Node) handleRope(ctx context.Context, c *app.RequestContext) {
 	switch string(c.Request.URI().PathOriginal()) {
-	case pathShuffle:
+	case PathShuffle:
 		n.handleShuffle(c)
-	case pathSaddle:
+	case PathRelay:
 		var m relay.Ask
 		if !transport.Read(c, &m) {
 			return
 		}
 		if n.trail == nil {
 			transport.Answer(c, 404, map[string]string{"Error": "no front"})
-		} else if say, ok := n.trail.head.Lend(m); ok {
+		} else if say, ok := n.trail.frontend.Lend(m); ok {
 			transport.Answer(c, 200, say)
 		} else {
 			transport.Answer(c, 409, map[string]string{"Error": "another version is in force here"})
 		}
-	case pathLarder:
+	case PathCacheFetch:
 		if n.kitchen == nil {
 			transport.Answer(c, 404, map[string]string{"Error": "no larder"})
 			return
 		}
-		n.kitchen.handle(c)
-	case pathStatus:
+		n.kitchen.HandleFetch(c)
+	case PathStatus:
 		transport.Answer(c, 200, n.Status())
-	case pathConfig, pathPurge:
+	case PathConfiguration, PathPurge:
 		n.handleControl(ctx, c)
 	default:
-		if isRollout(string(c.Request.URI().PathOriginal())) {
+		if IsRolloutPath(string(c.Request.URI().PathOriginal())) {
 			n.handleControl(ctx, c)
 			return
 		}
-		if n.hut == nil || !n.hut.handle(c) {
+		if n.hut == nil || !n.hut.HandleInternal(c) {
 			transport.Answer(c, 404, map[string]string{"Error": "no such call"})
 		}
 	}
@@ -208,10 +208,10 @@
 // handleControl takes the operator's calls and passes on what this node can't settle.
 func (n *Node) handleControl(_ context.Context, c *app.RequestContext) {
 	path, m := string(c.Request.URI().PathOriginal()), string(c.Request.Header.Method())
-	rollout := isRollout(path)
+	rollout := IsRolloutPath(path)
 	if n.hut != nil && m != "GET" {
-		n.hut.orders.Add(1)
-		defer n.hut.orders.Add(-1)
+		n.hut.ordersInFlight.Add(1)
+		defer n.hut.ordersInFlight.Add(-1)
 		if n.hut.closing.Load() {
 			c.Response.Header.Set("Retry-After", "0.2")
 			transport.Answer(c, 503, map[string]string{"Error": "this node leaves"})
@@ -220,25 +220,25 @@
 	}
 	until := n.until(c)
 	switch {
-	case path != pathConfig && path != pathPurge && !rollout:
+	case path != PathConfiguration && path != PathPurge && !rollout:
 		transport.Answer(c, 404, map[string]string{"Error": "no such call"})
-	case path == pathConfig && m != "GET" && m != "PUT" && m != "PATCH":
+	case path == PathConfiguration && m != "GET" && m != "PUT" && m != "PATCH":
 		transport.Answer(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
-	case path == pathPurge && m != "POST":
+	case path == PathPurge && m != "POST":
 		transport.Answer(c, 405, map[string]string{"Error": "POST only"})
-	case rollout && m != "GET" && !(m == "POST" && path == pathRollout):
-		transport.Answer(c, 405, map[string]string{"Error": "POST " + pathRollout + " and GET only"})
+	case rollout && m != "GET" && !(m == "POST" && path == PathRollouts):
+		transport.Answer(c, 405, map[string]string{"Error": "POST " + PathRollouts + " and GET only"})
 	case m == "POST" && n.doubtful():
 		// A change of the configuration is known as late by its base, an order isn't.
 		n.unsettled(c, "this node stood still, and the order may be an old one")
-	case n.hut == nil || !n.hut.knows():
+	case n.hut == nil || !n.hut.HasState():
 		n.passOn(c, path, until)
 	case rollout:
-		n.hut.handleRollout(c, path, until)
-	case path == pathPurge:
-		n.hut.handlePurge(c, until)
+		n.hut.HandleRollout(c, path, until)
+	case path == PathPurge:
+		n.hut.HandlePurge(c, until)
 	default:
-		n.hut.handleConfig(c, until)
+		n.hut.HandleConfiguration(c, until)
 	}
 }
 
@@ -253,24 +253,24 @@
 		}
 	}
 	if n.hut != nil {
-		add(n.hut.voterIPs())
+		add(n.hut.VoterIPs())
 	}
 	if n.trail != nil {
-		add(n.trail.hutIPs())
+		add(n.trail.ControlIPs())
 	}
 	add(n.set().SeedIPs())
-	n.view.ask(func() { add(n.way.Huts()) })
+	n.view.Call(func() { add(n.way.Huts()) })
 	return out
 }
 
 func (n *Node) handleShuffle(c *app.RequestContext) {
-	var m shuffle
+	var m ShuffleMessage
 	if !transport.Read(c, &m) {
 		return
 	}
 	var give []peersampling.Node
-	n.view.ask(func() { give = n.way.Answer(m.Nodes) })
-	transport.Answer(c, 200, shuffle{give})
+	n.view.Call(func() { give = n.way.Answer(m.Nodes) })
+	transport.Answer(c, 200, ShuffleMessage{give})
 }
 
 // shuffleLoop exchanges parts of the view with neighbours.
@@ -284,7 +284,7 @@
 		var partner peersampling.Node
 		var offer []peersampling.Node
 		ok := false
-		n.view.ask(func() {
+		n.view.Call(func() {
 			for _, ip := range n.set().SeedIPs() {
 				if ip != n.set().IpAddress && len(n.way.Nodes()) == 0 {
 					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
@@ -295,9 +295,9 @@
 		if !ok {
 			continue
 		}
-		var got shuffle
-		if err := n.call.Ask(n.set().RopeAddr(partner.IP), pathShuffle, shuffle{offer}, &got, n.heartbeat(0.8)); err == nil {
-			n.view.ask(func() { n.way.Finish(partner, got.Nodes) })
+		var got ShuffleMessage
+		if err := n.call.Ask(n.set().RopeAddr(partner.IP), PathShuffle, ShuffleMessage{offer}, &got, n.heartbeat(0.8)); err == nil {
+			n.view.Call(func() { n.way.Finish(partner, got.Nodes) })
 		}
 	}
 }
@@ -309,19 +309,19 @@
 	UpMs    int64
 	Leaving bool
 	View    []peersampling.Node
-	Hut     *HutStatus   `json:",omitempty"`
-	Trail   *TrailStatus `json:",omitempty"`
+	Hut     *ControlStatus `json:",omitempty"`
+	Trail   *FrontStatus   `json:",omitempty"`
 }
 
 // Status tells how the node is doing.
 func (n *Node) Status() Status {
 	st := Status{Node: n.set().NodeName, Zone: n.set().Zone, UpMs: n.steady().Milliseconds(), Leaving: n.leaving.Load()}
-	n.view.ask(func() { st.View = n.way.Nodes() })
+	n.view.Call(func() { st.View = n.way.Nodes() })
 	if n.hut != nil {
-		st.Hut = n.hut.status()
+		st.Hut = n.hut.Status()
 	}
 	if n.trail != nil {
-		st.Trail = n.trail.status()
+		st.Trail = n.trail.Status()
 	}
 	return st
 }
@@ -329,7 +329,7 @@
 // FetchStatus asks a node for its status; `swiftswitch status` uses it.
 func FetchStatus(addr string, within time.Duration) ([]byte, error) {
 	cl := transport.NewClient(1, within, within, 8<<20)
-	rep, err := cl.Call(addr, "GET", pathStatus, nil, nil, within)
+	rep, err := cl.Call(addr, "GET", PathStatus, nil, nil, within)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -14,33 +14,33 @@
 
 // The operator's calls for the configuration.
 
-// readStale is how old, of AcknowledgeMs, what a read gave may be when it is answered.
-const readStale = 0.1
+// maxReadAnswerAge is how old, of AcknowledgeMs, what a read gave may be when it is answered.
+const maxReadAnswerAge = 0.1
 
-// readFor reads the newest state within the caller's patience and gives it to
+// answerRead reads the newest state within the caller's patience and gives it to
 // answer, which only prepares the answer; should the node have stood still
 // meanwhile, it reads anew.
-func (h *hut) readFor(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
-	ack := h.n.set().Bounds.AcknowledgeMs
+func (h *ControlServer) answerRead(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
+	ack := h.host.set().Bounds.AcknowledgeMs
 	for time.Now().Before(until) {
-		s, ok := h.read(min(config.Ms(ack, 0.6), time.Until(until)))
+		s, ok := h.readQuorum(min(config.Ms(ack, 0.6), time.Until(until)))
 		if !ok {
 			break
 		}
 		at := time.Now()
-		if answer(s); time.Since(at) < config.Ms(ack, readStale) {
+		if answer(s); time.Since(at) < config.Ms(ack, maxReadAnswerAge) {
 			return
 		}
 		c.Response.Reset()
 	}
 	events.Log(events.ReadUnsettled)
-	h.n.unsettled(c, "no majority can be reached")
+	h.host.unsettled(c, "no majority can be reached")
 }
 
-// handleConfig takes the operator's calls.
-func (h *hut) handleConfig(c *app.RequestContext, until time.Time) {
+// HandleConfiguration takes the operator's calls.
+func (h *ControlServer) HandleConfiguration(c *app.RequestContext, until time.Time) {
 	if string(c.Request.Header.Method()) == "GET" {
-		h.readFor(c, until, func(s consensus.State) {
+		h.answerRead(c, until, func(s consensus.State) {
 			if s.Version == 0 {
 				transport.Answer(c, 404, map[string]string{"Error": "there is no configuration yet"})
 				return
@@ -57,18 +57,18 @@
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
 	if len(c.Request.Header.Peek(headerPassed)) == 0 {
-		settleBy = time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.8))
+		settleBy = time.Now().Add(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.8))
 	}
-	status, text := h.take(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
+	status, text := h.changeConfiguration(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
 	if status == 200 {
-		h.held(h.state().Slot, min(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
+		h.waitFrontsHold(h.State().Slot, min(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
 		transport.Answer(c, 200, map[string]int64{"Version": text.version})
 		return
 	}
 	events.Log(events.ConfigRefused, "status", status, "why", text.why)
 	switch status {
 	case 503:
-		h.n.unsettled(c, text.why)
+		h.host.unsettled(c, text.why)
 		return
 	case 412:
 		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
@@ -76,79 +76,79 @@
 	transport.Answer(c, status, map[string]string{"Error": text.why})
 }
 
-// taken is how a change ended: version is its own, or the current one where it lost.
-type taken struct {
+// changeResult is how a change ended: version is its own, or the current one where it lost.
+type changeResult struct {
 	version int64
 	why     string
 }
 
-// lost is a change that builds on another version than the current one.
-func lost(current int64) taken {
-	return taken{current, "version " + strconv.FormatInt(current, 10) + " is current"}
+// staleBase is a change that builds on another version than the current one.
+func staleBase(current int64) changeResult {
+	return changeResult{current, "version " + strconv.FormatInt(current, 10) + " is current"}
 }
 
-// take settles a PUT, or a PATCH: that is merged here into a whole version,
+// changeConfiguration settles a PUT, or a PATCH: that is merged here into a whole version,
 // on top of the one it builds on.
-func (h *hut) take(isPatch bool, body, match string, until time.Time) (int, taken) {
+func (h *ControlServer) changeConfiguration(isPatch bool, body, match string, until time.Time) (int, changeResult) {
 	var version int64
 	var patch *config.Patch
 	sum := consensus.Sum(body)
 	if isPatch {
 		p, err := config.ParsePatch([]byte(body))
 		if err != nil {
-			return 400, taken{why: err.Error()}
+			return 400, changeResult{why: err.Error()}
 		}
 		version, patch, sum = p.Version, p, consensus.Sum("PATCH\n"+body)
 	} else {
 		conf, err := config.ParseConfiguration([]byte(body))
 		if err != nil {
-			return 400, taken{why: err.Error()}
+			return 400, changeResult{why: err.Error()}
 		}
 		version = conf.Version
 	}
 	base, err := strconv.ParseInt(strings.Trim(strings.TrimPrefix(strings.TrimSpace(match), "W/"), "\""), 10, 64)
 	if err != nil || base < 0 {
-		return 400, taken{why: "If-Match must hold the version that this one builds on"}
+		return 400, changeResult{why: "If-Match must hold the version that this one builds on"}
 	}
 	if version <= base {
-		return 400, taken{why: "Version is not above the one it builds on"}
+		return 400, changeResult{why: "Version is not above the one it builds on"}
 	}
-	status, end := h.settle(&consensus.Value{Version: version, Base: base, Body: body, Sent: sum}, patch, until)
+	status, end := h.decideConfiguration(&consensus.Value{Version: version, Base: base, Body: body, Sent: sum}, patch, until)
 	if status != 200 {
 		return status, end
 	}
 	// Not under the lock of proposals: a node that is to vote must be let in meanwhile.
-	if !h.grown(until) {
-		return 503, taken{why: "too few nodes hold it yet"}
+	if !h.waitReplicated(until) {
+		return 503, changeResult{why: "too few nodes hold it yet"}
 	}
-	return 200, taken{version: version}
+	return 200, changeResult{version: version}
 }
 
-// settle has a configuration decided, merged from a patch where there is one.
-func (h *hut) settle(own *consensus.Value, patch *config.Patch, until time.Time) (int, taken) {
-	h.proposing.Lock()
-	defer h.proposing.Unlock()
+// decideConfiguration has a configuration decided, merged from a patch where there is one.
+func (h *ControlServer) decideConfiguration(own *consensus.Value, patch *config.Patch, until time.Time) (int, changeResult) {
+	h.proposalLock.Lock()
+	defer h.proposalLock.Unlock()
 	merged := patch == nil
 	for try := 0; ; try++ {
-		h.proposing.Yield()
-		s := h.state()
+		h.proposalLock.YieldToUrgent()
+		s := h.State()
 		switch {
 		case s.Has(own.Version, own.Base, own.Sent):
-			return 200, taken{}
+			return 200, changeResult{}
 		case own.Base < s.Version:
-			return 412, lost(s.Version)
+			return 412, staleBase(s.Version)
 		case time.Now().After(until):
-			return 503, taken{why: "no majority agreed in time"}
-		case h.apart():
-			return 503, taken{why: "no majority can be reached"}
+			return 503, changeResult{why: "no majority agreed in time"}
+		case h.isolated():
+			return 503, changeResult{why: "no majority can be reached"}
 		case own.Base > s.Version:
 			// This node may be behind: whoever knows more will say so.
-			fresh, ok := h.readLocked(until)
+			fresh, ok := h.readDuringProposal(until)
 			if ok && fresh.Version < own.Base {
-				return 412, lost(fresh.Version)
+				return 412, staleBase(fresh.Version)
 			}
 			if !ok {
-				h.pause(try)
+				h.backOff(try)
 			}
 			continue
 		}
@@ -159,17 +159,17 @@
 				_, err = config.ParseConfiguration(whole)
 			}
 			if err != nil {
-				return 400, taken{why: err.Error()}
+				return 400, changeResult{why: err.Error()}
 			}
 			own.Body, merged = string(whole), true
 		}
-		if !h.round(s, own) {
-			h.pause(try)
+		if !h.propose(s, own) {
+			h.backOff(try)
 		}
 	}
 }
 
-// readLocked is a read in the middle of settling an order, no longer than that may take.
-func (h *hut) readLocked(until time.Time) (consensus.State, bool) {
-	return h.read(min(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
+// readDuringProposal is a read in the middle of settling an order, no longer than that may take.
+func (h *ControlServer) readDuringProposal(until time.Time) (consensus.State, bool) {
+	return h.readQuorum(min(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
 }
--- a/internal/lodge/pack.go
+++ b/internal/lodge/pack.go
@@ -11,8 +11,8 @@
 	"swiftswitch/internal/endpoints"
 )
 
-// pack makes the packed form of what goes to many nodes alike.
-func pack(raw []byte) []byte {
+// GzipPack makes the packed form of what goes to many nodes alike.
+func GzipPack(raw []byte) []byte {
 	var buf bytes.Buffer
 	z := gzip.NewWriter(&buf)
 	_, _ = z.Write(raw)
@@ -20,15 +20,15 @@
 	return buf.Bytes()
 }
 
-// unpack reads it, up to most bytes.
-func unpack(packed []byte, most int) ([]byte, error) {
+// GzipUnpack reads it, up to most bytes.
+func GzipUnpack(packed []byte, most int) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
 	}
 	raw, err := io.ReadAll(io.LimitReader(z, int64(most)+1))
 	if err == nil && len(raw) > most {
-		err = errTooLarge
+		err = ErrTooLarge
 	}
 	return raw, err
 }
@@ -37,14 +37,14 @@
 
 func (e packError) Error() string { return string(e) }
 
-const errTooLarge = packError("the message is too large when unpacked")
+const ErrTooLarge = packError("the message is too large when unpacked")
 
 // dictionary names the base of what packOn makes.
 const dictionary = 1
 
-// packOn gives raw byte for byte as what it adds to a base that the receiver
+// PackDelta gives raw byte for byte as what it adds to a base that the receiver
 // holds as well: a delta. A base that has little to do with it costs nothing.
-func packOn(base, raw string) ([]byte, error) {
+func PackDelta(base, raw string) ([]byte, error) {
 	o := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithEncoderLevel(zstd.SpeedDefault),
 		zstd.WithWindowSize(max(zstd.MinWindowSize, 1<<bits.Len(uint(len(base)+len(raw))))),
@@ -60,8 +60,8 @@
 	return z.EncodeAll([]byte(raw), nil), nil
 }
 
-// unpackOn reads it, up to most bytes; what was made on another base is an error.
-func unpackOn(base string, packed []byte, most int) (string, error) {
+// UnpackDelta reads it, up to most bytes; what was made on another base is an error.
+func UnpackDelta(base string, packed []byte, most int) (string, error) {
 	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(most))}
 	if base != "" {
 		o = append(o, zstd.WithDecoderDictRaw(dictionary, []byte(base)))
@@ -75,9 +75,9 @@
 	return string(raw), err
 }
 
-// unpackDelta reads a change of the table.
-func unpackDelta(packed []byte, most int) (*endpoints.Delta, error) {
-	raw, err := unpack(packed, most)
+// UnpackTableDelta reads a change of the table.
+func UnpackTableDelta(packed []byte, most int) (*endpoints.Delta, error) {
+	raw, err := GzipUnpack(packed, most)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lodge/patience.go
+++ b/internal/lodge/patience.go
@@ -151,14 +151,14 @@
 		case <-n.stop:
 			return
 		case <-time.After(n.vigil.Gap / 4):
-			n.view.ask(n.look)
+			n.view.Call(n.look)
 		}
 	}
 }
 
 // doubtful tells whether a call that has just been read may be an old one.
 func (n *Node) doubtful() (yes bool) {
-	n.view.ask(func() {
+	n.view.Call(func() {
 		n.look()
 		yes = n.vigil.Doubtful(n.steady())
 	})
@@ -179,11 +179,11 @@
 	// A call under way may outlive this one, whose bytes are used again.
 	body := slices.Clone(c.Request.Body())
 	ips := slices.DeleteFunc(n.huts(), func(ip string) bool { return ip == n.set().IpAddress })
-	n.view.ask(func() {
+	n.view.Call(func() {
 		ips = n.unheard.Last(ips, n.steady(), config.Ms(n.set().Bounds.InTouchMs, 1))
 	})
 	note := func(ip string, answered bool) {
-		n.view.post(func() { n.unheard.Note(ip, answered, n.steady()) })
+		n.view.Submit(func() { n.unheard.Note(ip, answered, n.steady()) })
 	}
 	in := make(chan *transport.Reply, len(ips))
 	waits, last := 0, ""
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -77,12 +77,12 @@
 
 func TestPurgesOfOneBatchAreDistinct(t *testing.T) {
 	now := time.Now()
-	wait := func(id, host, path, tag string, in time.Duration) *purgeWait {
-		return &purgeWait{purge: consensus.Purge{ID: id, Host: host, Path: path, Tag: tag}, until: now.Add(in)}
+	wait := func(id, host, path, tag string, in time.Duration) *pendingPurge {
+		return &pendingPurge{purge: consensus.Purge{ID: id, Host: host, Path: path, Tag: tag}, until: now.Add(in)}
 	}
 	a, b, again, other := wait("1", "h", "/x", "", 50), wait("2", "", "", "t", 90), wait("3", "h", "/x", "", 70), wait("4", "h", "/y", "", 20)
 	gone := wait("5", "h", "/z", "", -1)
-	purges, of, until := distinct([]*purgeWait{gone, a, b, again, other}, now)
+	purges, of, until := distinctPurges([]*pendingPurge{gone, a, b, again, other}, now)
 	if len(purges) != 3 || purges[0].ID != "1" || purges[1].ID != "2" || purges[2].ID != "4" {
 		t.Errorf("chosen are %+v", purges)
 	}
@@ -158,7 +158,7 @@
 	defer close(hold)
 	own := patience(node.set().Bounds.AcknowledgeMs, len(anOrder))
 	at := time.Now()
-	status, h := w.sendOrder(11, pathRollout, anOrder, nil)
+	status, h := w.sendOrder(11, PathRollouts, anOrder, nil)
 	if took := time.Since(at); status != 412 || took > own {
 		t.Fatalf("the second node's answer: %d after %v of %v", status, took, own)
 	}
@@ -169,11 +169,11 @@
 		t.Errorf("it was told that %q ms of %v are left", left.Load(), own)
 	}
 	// The one that hangs is asked last from now on.
-	if status, _ := w.sendOrder(11, pathRollout, anOrder, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
+	if status, _ := w.sendOrder(11, PathRollouts, anOrder, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
 		t.Errorf("%d; the one that hangs was asked %d times, the other %d", status, hung.Load(), settled.Load())
 	}
 	// What is left of the patience counts from the first node on.
-	if status, _ = w.sendOrder(11, pathRollout, anOrder, map[string]string{headerPassed: "x"}); status != 503 {
+	if status, _ = w.sendOrder(11, PathRollouts, anOrder, map[string]string{headerPassed: "x"}); status != 503 {
 		t.Errorf("passed on twice: %d", status)
 	}
 }
@@ -188,7 +188,7 @@
 	}
 	own := patience(node.set().Bounds.AcknowledgeMs, len(anOrder))
 	at := time.Now()
-	status, h := w.sendOrder(11, pathRollout, anOrder, nil)
+	status, h := w.sendOrder(11, PathRollouts, anOrder, nil)
 	if took := time.Since(at); status != 503 || took > own+own/2 {
 		t.Errorf("nobody answers: %d after %v, the patience is %v", status, took, own)
 	}
@@ -196,7 +196,7 @@
 }
 
 // alone is a town of one hut with a configuration in force.
-func alone(t *testing.T) (*town, *hut) {
+func alone(t *testing.T) (*town, *ControlServer) {
 	w := newTown(t)
 	node := w.run(1, true, 1)
 	w.eventually("the first configuration is acknowledged", func() bool {
@@ -208,23 +208,23 @@
 
 func TestOrderThatWaitedInAFrozenNode(t *testing.T) {
 	w, h := alone(t)
-	gap := h.n.vigil.Gap
+	gap := h.host.vigil.Gap
 	frozen := make(chan struct{})
-	go h.n.view.ask(func() { close(frozen); time.Sleep(3 * gap) })
+	go h.host.view.Call(func() { close(frozen); time.Sleep(3 * gap) })
 	<-frozen
-	for path, body := range map[string]string{pathRollout: anOrder, pathPurge: `{"Tag":"x"}`} {
+	for path, body := range map[string]string{PathRollouts: anOrder, PathPurge: `{"Tag":"x"}`} {
 		status, head := w.sendOrder(1, path, body, nil)
 		if status != 503 {
 			t.Errorf("%s: an order that may be an old one: %d", path, status)
 		}
 		soon(t, head)
 	}
-	if s := h.state(); len(s.Rollouts) > 0 || s.PurgeSeq > 0 {
+	if s := h.State(); len(s.Rollouts) > 0 || s.PurgeSeq > 0 {
 		t.Fatalf("it started something: %+v", s.Rollouts)
 	}
 	// A change bears its lateness, and later orders are taken.
-	w.eventually("orders are taken again", func() bool { status, _ := w.sendOrder(1, pathRollout, anOrder, nil); return status == 200 })
-	go h.n.view.ask(func() { time.Sleep(2 * gap) })
+	w.eventually("orders are taken again", func() bool { status, _ := w.sendOrder(1, PathRollouts, anOrder, nil); return status == 200 })
+	go h.host.view.Call(func() { time.Sleep(2 * gap) })
 	if status, body := w.control(1, "PUT", "3", configBody(5, "s1")); status != 200 {
 		t.Errorf("a change after a freeze: %d %s", status, body)
 	}
@@ -234,11 +234,11 @@
 // the lock of proposals at last.
 func TestNothingStartsPastThePatience(t *testing.T) {
 	w, h := alone(t)
-	before := h.state()
-	h.proposing.Lock()
+	before := h.State()
+	h.proposalLock.Lock()
 	calls := 0
 	got := make(chan int, 4)
-	for path, body := range map[string]string{pathRollout: anOrder, pathPurge: `{"Tag":"x"}`} {
+	for path, body := range map[string]string{PathRollouts: anOrder, PathPurge: `{"Tag":"x"}`} {
 		calls++
 		go func() {
 			status, head := w.sendOrder(1, path, body, map[string]string{headerPassed: "x", headerPatience: "120"})
@@ -247,39 +247,39 @@
 		}()
 	}
 	time.Sleep(250 * time.Millisecond)
-	h.proposing.Unlock()
+	h.proposalLock.Unlock()
 	for range calls {
 		if status := <-got; status != 503 {
 			t.Errorf("past the patience: %d", status)
 		}
 	}
-	h.proposing.Lock()
+	h.proposalLock.Lock()
 	go func() {
-		status, _ := h.take(false, configBody(5, "s1"), "3", time.Now().Add(50*time.Millisecond))
+		status, _ := h.changeConfiguration(false, configBody(5, "s1"), "3", time.Now().Add(50*time.Millisecond))
 		got <- status
 	}()
 	time.Sleep(150 * time.Millisecond)
-	h.proposing.Unlock()
+	h.proposalLock.Unlock()
 	if status := <-got; status != 503 {
 		t.Errorf("a change past the patience: %d", status)
 	}
-	if s := h.state(); s.Slot != before.Slot {
+	if s := h.State(); s.Slot != before.Slot {
 		t.Errorf("%d slots were decided", s.Slot-before.Slot)
 	}
 }
 
 // settleOrder ends the plain service's order in the log.
-func (h *hut) settleOrder(t *testing.T, phase consensus.Phase) {
+func (h *ControlServer) settleOrder(t *testing.T, phase consensus.Phase) {
 	t.Helper()
-	h.proposing.Lock()
-	defer h.proposing.Unlock()
+	h.proposalLock.Lock()
+	defer h.proposalLock.Unlock()
 	for range 20 {
-		s := h.state()
+		s := h.State()
 		r, _ := s.Rollout("plain")
 		if r.Phase == phase {
 			return
 		}
-		h.round(s, &consensus.Value{Rollout: &consensus.Rollout{N: r.N, Service: "plain", Phase: phase}})
+		h.propose(s, &consensus.Value{Rollout: &consensus.Rollout{N: r.N, Service: "plain", Phase: phase}})
 	}
 	t.Fatalf("the order did not become %s", phase)
 }
@@ -288,12 +288,12 @@
 	w, h := alone(t)
 	order := func(target string) int {
 		t.Helper()
-		status, _ := w.sendOrder(1, pathRollout, strings.Replace(anOrder, "v2", target, 1), nil)
+		status, _ := w.sendOrder(1, PathRollouts, strings.Replace(anOrder, "v2", target, 1), nil)
 		return status
 	}
 	last := func(want string, phase consensus.Phase) {
 		t.Helper()
-		if r, _ := h.state().Rollout("plain"); r.Target != want || r.Phase != phase {
+		if r, _ := h.State().Rollout("plain"); r.Target != want || r.Phase != phase {
 			t.Fatalf("the last order is %+v, want %s %s", r, want, phase)
 		}
 	}
@@ -322,9 +322,9 @@
 	}
 	last("v3", consensus.Completed)
 	// Long after, it is a new order.
-	h.desk.ask(func() {
-		for slot := range h.course.ordered {
-			h.course.ordered[slot] -= 4 * time.Duration(h.n.set().Bounds.AcknowledgeMs) * time.Millisecond
+	h.loop.Call(func() {
+		for slot := range h.rollouts.orderKnownAt {
+			h.rollouts.orderKnownAt[slot] -= 4 * time.Duration(h.host.set().Bounds.AcknowledgeMs) * time.Millisecond
 		}
 	})
 	if status := order("v2"); status != 200 {
@@ -344,16 +344,16 @@
 		return status == 200
 	})
 	one, two := w.nodes["1"].hut, w.nodes["2"].hut
-	w.eventually("the first order", func() bool { status, _ := w.sendOrder(1, pathRollout, anOrder, nil); return status == 200 })
-	w.eventually("both know it", func() bool { _, ok := two.state().Rollout("plain"); return ok })
-	old := two.state()
+	w.eventually("the first order", func() bool { status, _ := w.sendOrder(1, PathRollouts, anOrder, nil); return status == 200 })
+	w.eventually("both know it", func() bool { _, ok := two.State().Rollout("plain"); return ok })
+	old := two.State()
 	one.settleOrder(t, consensus.RolledBack)
-	w.eventually("the end is known", func() bool { r, _ := two.state().Rollout("plain"); return !r.Running() })
-	two.desk.ask(func() { two.acc.State = old })
-	if status, _ := w.sendOrder(2, pathRollout, strings.Replace(anOrder, "v2", "v3", 1), nil); status != 200 {
+	w.eventually("the end is known", func() bool { r, _ := two.State().Rollout("plain"); return !r.Running() })
+	two.loop.Call(func() { two.acceptor.State = old })
+	if status, _ := w.sendOrder(2, PathRollouts, strings.Replace(anOrder, "v2", "v3", 1), nil); status != 200 {
 		t.Errorf("an order where the node took the last one for running: %d", status)
 	}
-	if r, _ := two.state().Rollout("plain"); r.Target != "v3" {
+	if r, _ := two.State().Rollout("plain"); r.Target != "v3" {
 		t.Errorf("the last order is %+v", r)
 	}
 }
@@ -362,7 +362,7 @@
 func TestLostChangeNamesTheCurrentVersion(t *testing.T) {
 	w, h := alone(t)
 	for match, want := range map[string]string{"2": "3", "9": "3"} {
-		req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090%s", w.ip(1), pathConfig), strings.NewReader(configBody(11, "s1")))
+		req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090%s", w.ip(1), PathConfiguration), strings.NewReader(configBody(11, "s1")))
 		req.Header.Set("If-Match", match)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -375,7 +375,7 @@
 			t.Errorf("on top of %s: %d, ETag %q, %q", match, resp.StatusCode, resp.Header.Get("ETag"), say.Error)
 		}
 	}
-	if h.state().Version != 3 {
+	if h.State().Version != 3 {
 		t.Error("it is in force")
 	}
 }
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -13,52 +13,52 @@
 )
 
 // pollLoop reads the platform's list while this node has the duty.
-func (h *hut) pollLoop() {
+func (h *ControlServer) pollLoop() {
 	for {
 		var epoch int64
 		var silence, holds bool
-		h.desk.ask(func() {
-			silence = h.silence()
-			if !h.n.leaving.Load() {
-				epoch, holds = h.duty.Token(h.n.steady())
+		h.loop.Call(func() {
+			silence = h.frontsMissEndpoints()
+			if !h.host.leaving.Load() {
+				epoch, holds = h.pollLease.Token(h.host.steady())
 			}
 		})
-		wait := h.n.heartbeat(0.2)
+		wait := h.host.heartbeat(0.2)
 		if holds {
 			// While fronts miss searchers, new ones are looked for more often.
-			wait = config.Ms(h.n.set().Bounds.DrainMs, 0.25)
+			wait = config.Ms(h.host.set().Bounds.DrainMs, 0.25)
 			if silence {
-				wait = config.Ms(h.n.set().Bounds.DrainMs, 0.08)
+				wait = config.Ms(h.host.set().Bounds.DrainMs, 0.08)
 			}
-			if h.caughtUp(epoch) {
-				h.poll(epoch)
-				h.strike()
+			if h.catchUpTable(epoch) {
+				h.pollOnce(epoch)
+				h.removeSilentCacheNodes()
 			} else {
-				wait = h.n.heartbeat(0.05)
+				wait = h.host.heartbeat(0.05)
 			}
 		}
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
 		case <-time.After(wait):
-		case <-h.taken:
+		case <-h.leaseAcquired:
 		}
 	}
 }
 
-// caughtUp brings the newest table that a voter held when it granted the
+// catchUpTable brings the newest table that a voter held when it granted the
 // epoch: what is reported under it must rest on that. A voter that is gone
 // since is not waited for.
-func (h *hut) caughtUp(epoch int64) bool {
+func (h *ControlServer) catchUpTable(epoch int64) bool {
 	var from, held endpoints.Stamp
 	ip, id := "", ""
-	h.desk.ask(func() {
+	h.loop.Call(func() {
 		if h.table != nil {
 			held = h.table.Stamp
 		}
 		from = held
-		for at, t := range h.tables {
-			if t.epoch == epoch && from.Less(t.stamp) && h.duty.Live(t.voter, h.n.steady()) {
+		for at, t := range h.grantorTables {
+			if t.epoch == epoch && from.Less(t.stamp) && h.pollLease.Live(t.voter, h.host.steady()) {
 				ip, id, from = at, t.voter, t.stamp
 			}
 		}
@@ -66,35 +66,35 @@
 	if ip == "" {
 		return true
 	}
-	var say fetchSay
-	err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathFetch, fetchAsk{held}, &say, h.n.heartbeat(0.8))
+	var say TableFetchResponse
+	err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathTableFetch, TableFetchRequest{held}, &say, h.host.heartbeat(0.8))
 	var d *endpoints.Delta
 	if err == nil {
-		d, err = unpackDelta(say.Delta, h.n.maxMessage())
+		d, err = UnpackTableDelta(say.Delta, h.host.maxMessage())
 	}
 	if err != nil {
 		events.Log(events.TableMissed, "voter", id, "err", err)
 		return false
 	}
 	now := held
-	h.desk.ask(func() { now = h.takeDelta(d) })
+	h.loop.Call(func() { now = h.applyTableDelta(d) })
 	return !now.Less(from)
 }
 
-// poll reads the list whole and merges it under this node's epoch. A list
+// pollOnce reads the list whole and merges it under this node's epoch. A list
 // whose reading began or ended outside the lease counts for nothing.
-func (h *hut) poll(epoch int64) {
-	list, err := h.list()
+func (h *ControlServer) pollOnce(epoch int64) {
+	list, err := h.fetchInstances()
 	if err != nil {
 		events.Log(events.ListFailed, "err", err)
 		return
 	}
-	h.desk.ask(func() {
-		if now, ok := h.duty.Token(h.n.steady()); !ok || now != epoch {
+	h.loop.Call(func() {
+		if now, ok := h.pollLease.Token(h.host.steady()); !ok || now != epoch {
 			events.Log(events.ListLate, "epoch", epoch)
 			return
 		}
-		stamp := endpoints.Stamp{Epoch: epoch, By: h.duty.Self, Seq: 1}
+		stamp := endpoints.Stamp{Epoch: epoch, By: h.pollLease.Self, Seq: 1}
 		if h.table != nil && h.table.Stamp.Epoch == stamp.Epoch && h.table.Stamp.By == stamp.By {
 			stamp.Seq = h.table.Stamp.Seq + 1
 		}
@@ -108,38 +108,38 @@
 			held = h.table.Stamp
 		}
 		h.setTable(t)
-		for _, ip := range h.peers() {
-			h.bring(ip, held)
+		for _, ip := range h.peerIPs() {
+			h.sendTable(ip, held)
 		}
 	})
 }
 
-// merge takes a table of another hut; it runs on the desk.
-func (h *hut) merge(t *endpoints.Table) {
-	if t.Stamp.Epoch < h.duty.Epoch && h.table != nil {
+// mergeTable takes a table of another hut; it runs on the desk.
+func (h *ControlServer) mergeTable(t *endpoints.Table) {
+	if t.Stamp.Epoch < h.pollLease.Epoch && h.table != nil {
 		if t.Stamp.Less(h.table.Stamp) {
-			events.Log(events.TableOld, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
+			events.Log(events.TableOld, "epoch", t.Stamp.Epoch, "known", h.pollLease.Epoch)
 			return
 		}
 	}
-	h.duty.See(t.Stamp.Epoch, t.Stamp.By)
+	h.pollLease.See(t.Stamp.Epoch, t.Stamp.By)
 	if m := endpoints.Merge(h.table, t); m != h.table {
 		h.setTable(m)
 	}
 }
 
-// list reads all pages of the platform's list.
-func (h *hut) list() ([]endpoints.Searcher, error) {
+// fetchInstances reads all pages of the platform's list.
+func (h *ControlServer) fetchInstances() ([]endpoints.Searcher, error) {
 	var out []endpoints.Searcher
 	token := ""
 	seen := map[string]bool{}
-	within := config.Ms(h.n.set().Bounds.DrainMs, 0.25)
+	within := config.Ms(h.host.set().Bounds.DrainMs, 0.25)
 	for page := 0; page < 1000; page++ {
 		path := "/instances"
 		if token != "" {
 			path += "?PageToken=" + url.QueryEscape(token)
 		}
-		rep, err := h.n.call.Call(h.n.set().CloudApi.Address, "GET", path, nil, nil, within)
+		rep, err := h.host.call.Call(h.host.set().CloudApi.Address, "GET", path, nil, nil, within)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -12,11 +12,11 @@
 
 // purgeMost bounds how many purges one slot decides, purgeSize an order in bytes.
 const (
-	purgeMost = 64
-	purgeSize = 64 << 10
+	maxPurgeBatch = 64
+	maxPurgeBytes = 64 << 10
 )
 
-type purgeWait struct {
+type pendingPurge struct {
 	purge consensus.Purge
 	// until is when its caller goes on.
 	until time.Time
@@ -32,12 +32,12 @@
 	return config.Ms(b.ConfigEffectMs, ratio)
 }
 
-// handlePurge takes the operator's purge: agreed by a majority, then
+// HandlePurge takes the operator's purge: agreed by a majority, then
 // acknowledged once the caches lately heard hold it, or soon after. A purge has
 // no name on the wire, so one that is sent again may purge again: copies are
 // dropped and fetched once more, and nothing older comes of it.
-func (h *hut) handlePurge(c *app.RequestContext, until time.Time) {
-	if len(c.Request.Body()) > purgeSize {
+func (h *ControlServer) HandlePurge(c *app.RequestContext, until time.Time) {
+	if len(c.Request.Body()) > maxPurgeBytes {
 		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
@@ -46,56 +46,56 @@
 		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	w := &purgeWait{purge: consensus.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
+	w := &pendingPurge{purge: consensus.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
 	select {
-	case h.purges <- w:
+	case h.purgeQueue <- w:
 	default:
-		h.n.unsettled(c, "too many purges wait")
+		h.host.unsettled(c, "too many purges wait")
 		return
 	}
 	select {
 	case ok := <-w.done:
-		if ok && h.grown(until) {
-			h.held(h.state().Slot, min(h.n.purgeMs(0.25), time.Until(until)/2))
+		if ok && h.waitReplicated(until) {
+			h.waitFrontsHold(h.State().Slot, min(h.host.purgeMs(0.25), time.Until(until)/2))
 			transport.Answer(c, 200, map[string]string{"Purged": w.purge.ID})
 			return
 		}
-	case <-h.n.stop:
+	case <-h.host.stop:
 	}
 	events.Log(events.PurgeUnsettled, "host", o.HostName, "path", o.Path, "tag", o.Tag)
-	h.n.unsettled(c, "no majority agreed in time")
+	h.host.unsettled(c, "no majority agreed in time")
 }
 
 // purgeLoop decides the purges that wait, many at once.
-func (h *hut) purgeLoop() {
+func (h *ControlServer) purgeLoop() {
 	for {
-		var batch []*purgeWait
+		var batch []*pendingPurge
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
-		case w := <-h.purges:
+		case w := <-h.purgeQueue:
 			batch = append(batch, w)
 		}
-		time.Sleep(h.n.purgeMs(0.02))
-		for more := true; more && len(batch) < purgeMost; {
+		time.Sleep(h.host.purgeMs(0.02))
+		for more := true; more && len(batch) < maxPurgeBatch; {
 			select {
-			case w := <-h.purges:
+			case w := <-h.purgeQueue:
 				batch = append(batch, w)
 			default:
 				more = false
 			}
 		}
-		ok := h.choosePurges(batch)
+		ok := h.decidePurges(batch)
 		for _, w := range batch {
 			w.done <- ok[w]
 		}
 	}
 }
 
-// distinct gives the purges of those that wait whose callers have not gone on
+// distinctPurges gives the purges of those that wait whose callers have not gone on
 // yet, each content once, and for which of them they are.
-func distinct(batch []*purgeWait, now time.Time) (purges []consensus.Purge, of map[*purgeWait]bool, until time.Time) {
-	of = map[*purgeWait]bool{}
+func distinctPurges(batch []*pendingPurge, now time.Time) (purges []consensus.Purge, of map[*pendingPurge]bool, until time.Time) {
+	of = map[*pendingPurge]bool{}
 	ids := map[consensus.Purge]string{}
 	for _, w := range batch {
 		if now.After(w.until) {
@@ -117,36 +117,36 @@
 	return purges, of, until
 }
 
-// choosePurges has a batch decided and tells whose purges are.
-func (h *hut) choosePurges(batch []*purgeWait) map[*purgeWait]bool {
-	h.proposing.Lock()
-	defer h.proposing.Unlock()
-	purges, of, until := distinct(batch, time.Now())
+// decidePurges has a batch decided and tells whose purges are.
+func (h *ControlServer) decidePurges(batch []*pendingPurge) map[*pendingPurge]bool {
+	h.proposalLock.Lock()
+	defer h.proposalLock.Unlock()
+	purges, of, until := distinctPurges(batch, time.Now())
 	if len(purges) == 0 {
 		return nil
 	}
 	for try := 0; ; try++ {
-		h.proposing.Yield()
-		s := h.state()
+		h.proposalLock.YieldToUrgent()
+		s := h.State()
 		if s.HasPurge(purges[0].ID) {
 			events.Log(events.PurgesChosen, "last", s.PurgeSeq, "count", len(purges))
 			return of
 		}
-		if time.Now().After(until) || h.apart() {
+		if time.Now().After(until) || h.isolated() {
 			return nil
 		}
-		if !h.roundBy(s, &consensus.Value{Purges: purges}, until) {
-			h.pause(try)
+		if !h.proposeUntil(s, &consensus.Value{Purges: purges}, until) {
+			h.backOff(try)
 		}
 	}
 }
 
-// handleEnlist makes a node one of the larders, which changes the parts of all of them.
-func (h *hut) handleEnlist(l consensus.Larder) bool {
+// handleCacheJoin makes a node one of the larders, which changes the parts of all of them.
+func (h *ControlServer) handleCacheJoin(l consensus.Larder) bool {
 	if l.IP == "" {
 		return false
 	}
-	return h.changeLarders(func(list []consensus.Larder) []consensus.Larder {
+	return h.changeCacheNodes(func(list []consensus.Larder) []consensus.Larder {
 		for _, x := range list {
 			if x.IP == l.IP {
 				return nil
@@ -156,50 +156,50 @@
 	})
 }
 
-// changeLarders proposes another list; nil from change means that it is as wanted.
-func (h *hut) changeLarders(change func([]consensus.Larder) []consensus.Larder) bool {
-	if !h.proposing.LockFirst(h.n.heartbeat(0.3)) {
+// changeCacheNodes proposes another list; nil from change means that it is as wanted.
+func (h *ControlServer) changeCacheNodes(change func([]consensus.Larder) []consensus.Larder) bool {
+	if !h.proposalLock.LockUrgent(h.host.heartbeat(0.3)) {
 		return false
 	}
-	defer h.proposing.Unlock()
+	defer h.proposalLock.Unlock()
 	for try := 0; try < 4; try++ {
-		s := h.state()
-		if !s.Votes(h.acc.ID) {
+		s := h.State()
+		if !s.Votes(h.acceptor.ID) {
 			return false
 		}
 		list := change(s.Larders)
 		if list == nil {
 			return true
 		}
-		if !h.round(s, &consensus.Value{Larders: list, NoLarders: len(list) == 0}) {
-			h.pause(try)
+		if !h.propose(s, &consensus.Value{Larders: list, NoLarders: len(list) == 0}) {
+			h.backOff(try)
 		}
 	}
 	return false
 }
 
-// strike takes larders off the list that have been silent for CatchUpS; the
+// removeSilentCacheNodes takes larders off the list that have been silent for CatchUpS; the
 // node that polls does it. Long before, such a node has stopped fetching.
-func (h *hut) strike() {
+func (h *ControlServer) removeSilentCacheNodes() {
 	var gone map[string]bool
-	h.desk.ask(func() {
-		now := h.n.steady()
-		long := config.Sec(h.n.set().Bounds.CatchUpS, 1)
-		for _, l := range h.acc.State.Larders {
-			at := h.keepers[l.IP]
+	h.loop.Call(func() {
+		now := h.host.steady()
+		long := config.Sec(h.host.set().Bounds.CatchUpS, 1)
+		for _, l := range h.acceptor.State.Larders {
+			at := h.cacheNodeHeardAt[l.IP]
 			for _, f := range h.fronts {
-				if f.larder && f.ip == l.IP {
-					at = max(at, f.until)
+				if f.cacheNode && f.ip == l.IP {
+					at = max(at, f.overdueAt)
 				}
 			}
-			for ip, r := range h.rolls {
+			for ip, r := range h.peerRosters {
 				for _, f := range r.Fronts {
 					if f.Keeps && f.IP == l.IP {
-						at = max(at, h.others[ip].at)
+						at = max(at, h.peers[ip].heardAt)
 					}
 				}
 			}
-			h.keepers[l.IP] = at
+			h.cacheNodeHeardAt[l.IP] = at
 			if now-at > long {
 				if gone == nil {
 					gone = map[string]bool{}
@@ -211,7 +211,7 @@
 	if gone == nil {
 		return
 	}
-	ok := h.changeLarders(func(list []consensus.Larder) []consensus.Larder {
+	ok := h.changeCacheNodes(func(list []consensus.Larder) []consensus.Larder {
 		left := []consensus.Larder{}
 		for _, l := range list {
 			if !gone[l.IP] {
