--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -15,30 +15,30 @@
 // The hut's records on disk. What the slots decided is kept in parts, so that
 // a change writes what it changes.
 
-// ballotRecord is the acceptor's part that changes with every round. The body
+// BallotRecord is the acceptor's part that changes with every round. The body
 // of its value stands in Packed, on top of the one in force before the slot.
-type ballotRecord struct {
+type BallotRecord struct {
 	consensus.Ballots
 	Packed []byte `json:",omitempty"`
 }
 
-// bodyRecord holds the part of the state that changes with the version only.
-type bodyRecord struct {
+// BodyRecord holds the part of the state that changes with the version only.
+type BodyRecord struct {
 	Version int64
 	Body    string
 }
 
 const (
-	recIdentity = "identity"
-	recState    = "state"
-	recBody     = "body"
-	recBallot   = "ballot"
-	recLeases   = "leases"
-	recTable    = "table"
-	recFronts   = "fronts"
-	recTerms    = "terms"
-	recLife     = "life"
-	recTaken    = "taken-%02d"
+	recordIdentity    = "identity"
+	recordState       = "state"
+	recordBody        = "body"
+	recordBallot      = "ballot"
+	recordLeases      = "leases"
+	recordTable       = "table"
+	recordFronts      = "fronts"
+	recordTerms       = "terms"
+	recordIncarnation = "life"
+	recordTakenPage   = "taken-%02d"
 )
 
 // Taken changes are kept in pages that are written over in turn: one more page
@@ -48,8 +48,8 @@
 	takenPages = consensus.TakenKept/takenPage + 1
 )
 
-// load reads all records into the values given; those that are not there stay.
-func load(cel *storage.Cellar, records map[string]any) error {
+// loadRecords reads all records into the values given; those that are not there stay.
+func loadRecords(cel *storage.Cellar, records map[string]any) error {
 	for name, v := range records {
 		raw, err := cel.Get(name)
 		if err != nil {
@@ -67,26 +67,26 @@
 
 // loadState reads what was decided, and what this voter said about the open slot.
 func loadState(cel *storage.Cellar, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
-	var body bodyRecord
-	var rec ballotRecord
+	var body BodyRecord
+	var rec BallotRecord
 	pages := make([][]consensus.Taken, takenPages)
-	records := map[string]any{recState: &s, recBody: &body, recBallot: &rec}
+	records := map[string]any{recordState: &s, recordBody: &body, recordBallot: &rec}
 	for i := range pages {
-		records[fmt.Sprintf(recTaken, i)] = &pages[i]
+		records[fmt.Sprintf(recordTakenPage, i)] = &pages[i]
 	}
-	if err = load(cel, records); err != nil {
+	if err = loadRecords(cel, records); err != nil {
 		return s, b, nil, err
 	}
 	if body.Version != s.Version {
-		return s, b, nil, fmt.Errorf("record %s on disk is of version %d, not %d", recBody, body.Version, s.Version)
+		return s, b, nil, fmt.Errorf("record %s on disk is of version %d, not %d", recordBody, body.Version, s.Version)
 	}
 	s.Body = body.Body
 	s.Taken = slices.Concat(pages...)
 	slices.SortFunc(s.Taken, func(a, b consensus.Taken) int { return int(a.Slot - b.Slot) })
 	s.Taken = s.Taken[max(0, len(s.Taken)-consensus.TakenKept):]
 	if v := rec.Value; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
-		if v.Body, err = unpackOn(s.Body, rec.Packed, most); err != nil {
-			return s, b, nil, errors.New("record " + recBallot + " on disk can't be read: " + err.Error())
+		if v.Body, err = UnpackDelta(s.Body, rec.Packed, most); err != nil {
+			return s, b, nil, errors.New("record " + recordBallot + " on disk can't be read: " + err.Error())
 		}
 	}
 	return s, rec.Ballots, rec.Packed, nil
@@ -97,38 +97,38 @@
 func stateRecords(s consensus.State, version, takenSeq int64) map[string][]byte {
 	small := s
 	small.Body, small.Taken = "", nil
-	records := map[string][]byte{recState: encode(recState, small)}
+	records := map[string][]byte{recordState: Encode(recordState, small)}
 	if s.Version != version {
-		records[recBody] = encode(recBody, bodyRecord{s.Version, s.Body})
+		records[recordBody] = Encode(recordBody, BodyRecord{s.Version, s.Body})
 	}
 	first := s.TakenSeq - int64(len(s.Taken)) // of those before the ones held
 	for at := max(first, takenSeq) / takenPage; at*takenPage < s.TakenSeq; at++ {
 		from, to := max(at*takenPage, first), min((at+1)*takenPage, s.TakenSeq)
-		name := fmt.Sprintf(recTaken, at%takenPages)
-		records[name] = encode(name, s.Taken[from-first:to-first])
+		name := fmt.Sprintf(recordTakenPage, at%takenPages)
+		records[name] = Encode(name, s.Taken[from-first:to-first])
 	}
 	return records
 }
 
-// keepState writes the decided state; what is large is written only where it
+// persistState writes the decided state; what is large is written only where it
 // changed. It runs on the desk.
-func (h *hut) keepState() {
-	s := h.acc.State
-	version, seq := h.put.version, h.put.takenSeq
-	h.put.version, h.put.takenSeq = s.Version, s.TakenSeq
-	h.cellar.PutAll(stateRecords(s, version, seq), func(err error) {
-		h.desk.post(func() {
+func (h *ControlServer) persistState() {
+	s := h.acceptor.State
+	version, seq := h.lastWrite.version, h.lastWrite.takenSeq
+	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.TakenSeq
+	h.store.PutAll(stateRecords(s, version, seq), func(err error) {
+		h.loop.Submit(func() {
 			if err == nil {
-				h.acc.StateSynced(s.Slot)
-				h.wakeKept()
+				h.acceptor.StateSynced(s.Slot)
+				h.wakeDurabilityWaiters()
 				return
 			}
 			// The store writes every record again; only nobody is told of it.
-			h.put.version, h.put.takenSeq = min(h.put.version, version), min(h.put.takenSeq, seq)
-			time.AfterFunc(h.n.heartbeat(0.1), func() {
-				h.desk.post(func() {
-					if h.acc.StateKept() < h.acc.State.Slot {
-						h.keepState()
+			h.lastWrite.version, h.lastWrite.takenSeq = min(h.lastWrite.version, version), min(h.lastWrite.takenSeq, seq)
+			time.AfterFunc(h.host.heartbeat(0.1), func() {
+				h.loop.Submit(func() {
+					if h.acceptor.StateKept() < h.acceptor.State.Slot {
+						h.persistState()
 					}
 				})
 			})
@@ -136,10 +136,10 @@
 	})
 }
 
-// wakeKept answers those that wait for the state to be on disk; it runs on the desk.
-func (h *hut) wakeKept() {
-	h.keeping = slices.DeleteFunc(h.keeping, func(w keepWait) bool {
-		if w.slot > h.acc.StateKept() {
+// wakeDurabilityWaiters answers those that wait for the state to be on disk; it runs on the desk.
+func (h *ControlServer) wakeDurabilityWaiters() {
+	h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(w durabilityWaiter) bool {
+		if w.slot > h.acceptor.StateKept() {
 			return false
 		}
 		close(w.done)
@@ -147,30 +147,30 @@
 	})
 }
 
-type keepWait struct {
+type durabilityWaiter struct {
 	slot int64
 	done chan struct{}
 }
 
-// kept waits until what this node knows as decided is on its disk, or for a
+// waitDurable waits until what this node knows as decided is on its disk, or for a
 // while, and gives the slot up to which it is.
-func (h *hut) kept() (slot int64) {
-	w := keepWait{done: make(chan struct{})}
-	h.desk.ask(func() {
-		if w.slot = h.acc.State.Slot; w.slot <= h.acc.StateKept() {
+func (h *ControlServer) waitDurable() (slot int64) {
+	w := durabilityWaiter{done: make(chan struct{})}
+	h.loop.Call(func() {
+		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.StateKept() {
 			close(w.done)
 			return
 		}
-		h.keeping = append(h.keeping, w)
+		h.durabilityWaiters = append(h.durabilityWaiters, w)
 	})
 	select {
 	case <-w.done:
-	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
-	case <-h.n.stop:
+	case <-time.After(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-h.host.stop:
 	}
-	h.desk.ask(func() {
-		slot = h.acc.StateKept()
-		h.keeping = slices.DeleteFunc(h.keeping, func(x keepWait) bool { return x.done == w.done })
+	h.loop.Call(func() {
+		slot = h.acceptor.StateKept()
+		h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(x durabilityWaiter) bool { return x.done == w.done })
 	})
 	return slot
 }
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -17,72 +17,72 @@
 // the node with the duty merges what all huts were told, runs the charts and
 // proposes the next phase.
 
-// course is a hut's table of rollouts; it belongs to the hut's desk.
-type course struct {
-	clock  *rollout.Clock
-	ledger *rollout.Ledger
-	judges map[int64]*rollout.Judge
-	// known is when this life of the node learned an order's present phase.
-	known map[int64]phaseKnown
-	// ordered is when this life of the node learned the slots of orders.
-	ordered map[int64]time.Duration
-	// told is the last tally of each front.
-	told map[string]*rollout.Teller
-	// behind is how many fronts lag behind a phase, as other huts told.
-	behind map[string]behindAt
-	seq    int64
-	noted  time.Duration
+// rolloutController is a hut's table of rollouts; it belongs to the hut's desk.
+type rolloutController struct {
+	clock      *rollout.Clock
+	totals     *rollout.Ledger
+	evaluators map[int64]*rollout.Judge
+	// phaseKnownAt is when this life of the node learned an order's present phase.
+	phaseKnownAt map[int64]knownPhase
+	// orderKnownAt is when this life of the node learned the slots of orders.
+	orderKnownAt map[int64]time.Duration
+	// reporters is the last tally of each front.
+	reporters map[string]*rollout.Teller
+	// laggingReports is how many fronts lag behind a phase, as other huts told.
+	laggingReports map[string]laggingReport
+	sequence       int64
+	termsNotedAt   time.Duration
 }
 
-type phaseKnown struct {
+type knownPhase struct {
 	slot int64
 	at   time.Duration
 }
 
-type behindAt struct {
+type laggingReport struct {
 	at     time.Duration
 	orders map[int64]int
 }
 
-func newCourse(n rollout.Noted, now time.Duration) course {
-	return course{
-		clock: rollout.NewClock(n, time.Now(), now), ledger: rollout.NewLedger(), judges: map[int64]*rollout.Judge{},
-		known: map[int64]phaseKnown{}, ordered: map[int64]time.Duration{}, told: map[string]*rollout.Teller{}, behind: map[string]behindAt{},
+func newRolloutController(n rollout.Noted, now time.Duration) rolloutController {
+	return rolloutController{
+		clock: rollout.NewClock(n, time.Now(), now), totals: rollout.NewLedger(), evaluators: map[int64]*rollout.Judge{},
+		phaseKnownAt: map[int64]knownPhase{}, orderKnownAt: map[int64]time.Duration{}, reporters: map[string]*rollout.Teller{}, laggingReports: map[string]laggingReport{},
 	}
 }
 
-// isRollout tells whether a path is one of the operator's for rollouts.
-func isRollout(path string) bool {
-	return path == pathRollout || strings.HasPrefix(path, pathRollout+"/")
+// IsRolloutPath tells whether a path is one of the operator's for rollouts.
+func IsRolloutPath(path string) bool {
+	return path == PathRollouts || strings.HasPrefix(path, PathRollouts+"/")
 }
 
-// runs tells whether an order is not settled; it runs on the desk.
-func (h *hut) runs(order int64) bool {
-	return slices.ContainsFunc(h.acc.State.Rollouts, func(r consensus.Rollout) bool { return r.N == order && r.Running() })
+// rolloutRunning tells whether an order is not settled; it runs on the desk.
+func (h *ControlServer) rolloutRunning(order int64) bool {
+	return slices.ContainsFunc(h.acceptor.State.Rollouts, func(r consensus.Rollout) bool { return r.N == order && r.Running() })
 }
 
-// follow takes the orders as they were decided; it runs on the desk.
-func (h *hut) follow() {
-	now, known := h.n.steady(), h.course.known
-	h.course.known = map[int64]phaseKnown{}
-	ordered := h.course.ordered
-	h.course.ordered = map[int64]time.Duration{}
-	for _, o := range h.acc.State.Ordered {
+// applyRollouts takes the orders as they were decided; it runs on the desk.
+func (h *ControlServer) applyRollouts() {
+	now, known := h.host.steady(), h.rollouts.phaseKnownAt
+	h.rollouts.phaseKnownAt = map[int64]knownPhase{}
+	ordered := h.rollouts.orderKnownAt
+	h.rollouts.orderKnownAt = map[int64]time.Duration{}
+	for _, o := range h.acceptor.State.Ordered {
 		at, ok := ordered[o.Slot]
 		if !ok {
 			at = now
 		}
-		h.course.ordered[o.Slot] = at
+		h.rollouts.orderKnownAt[o.Slot] = at
 	}
-	for _, r := range h.acc.State.Rollouts {
+	for _, r := range h.acceptor.State.Rollouts {
 		if k := known[r.N]; k.slot == r.Slot {
-			h.course.known[r.N] = k
+			h.rollouts.phaseKnownAt[r.N] = k
 			continue
 		}
-		h.course.known[r.N] = phaseKnown{r.Slot, now}
+		h.rollouts.phaseKnownAt[r.N] = knownPhase{r.Slot, now}
 		if r.Running() {
-			h.course.clock.Hear(r.N, time.Duration(r.SpentMs)*time.Millisecond, now)
-			h.noteTerms(now)
+			h.rollouts.clock.Hear(r.N, time.Duration(r.SpentMs)*time.Millisecond, now)
+			h.persistTerms(now)
 		}
 		if r.Phase == consensus.Canary {
 			events.Log(events.RolloutOrdered, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
@@ -92,63 +92,63 @@
 	}
 }
 
-// noteTerms keeps on disk how much of the terms is over; it runs on the desk.
-func (h *hut) noteTerms(now time.Duration) {
-	h.course.noted = now
-	h.record(recTerms, h.course.clock.Note(h.runs, time.Now(), now), nil)
+// persistTerms keeps on disk how much of the terms is over; it runs on the desk.
+func (h *ControlServer) persistTerms(now time.Duration) {
+	h.rollouts.termsNotedAt = now
+	h.writeRecord(recordTerms, h.rollouts.clock.Note(h.rolloutRunning, time.Now(), now), nil)
 }
 
-// takeTally takes what a front saw; it runs on the desk.
-func (h *hut) takeTally(m tally) {
-	if h.course.told[m.Name] == nil {
-		h.course.told[m.Name] = &rollout.Teller{}
+// onRolloutReport takes what a front saw; it runs on the desk.
+func (h *ControlServer) onRolloutReport(m RolloutReport) {
+	if h.rollouts.reporters[m.Name] == nil {
+		h.rollouts.reporters[m.Name] = &rollout.Teller{}
 	}
-	if !h.course.told[m.Name].New(m.Life, m.Seq) {
+	if !h.rollouts.reporters[m.Name].New(m.Life, m.Seq) {
 		return
 	}
-	m.Entries = slices.DeleteFunc(m.Entries, func(e rollout.Entry) bool { return !h.runs(e.Order) })
-	h.course.ledger.Add(m.Entries)
+	m.Entries = slices.DeleteFunc(m.Entries, func(e rollout.Entry) bool { return !h.rolloutRunning(e.Order) })
+	h.rollouts.totals.Add(m.Entries)
 }
 
-// takeLedger takes all that another hut was told; it runs on the desk.
-func (h *hut) takeLedger(m ledger) {
-	h.course.behind[m.ID] = behindAt{h.n.steady(), m.Behind}
-	h.weigh(h.course.ledger.Merge(m.ID, m.Life, m.Seq, m.Entries))
+// onRolloutTotals takes all that another hut was told; it runs on the desk.
+func (h *ControlServer) onRolloutTotals(m RolloutTotals) {
+	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.steady(), m.Behind}
+	h.evaluate(h.rollouts.totals.Merge(m.ID, m.Life, m.Seq, m.Entries))
 }
 
-// weigh gives what is new to the judges; it runs on the desk.
-func (h *hut) weigh(news []rollout.Entry) {
+// evaluate gives what is new to the judges; it runs on the desk.
+func (h *ControlServer) evaluate(news []rollout.Entry) {
 	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range news {
 		byOrder[e.Order] = append(byOrder[e.Order], e)
 	}
-	for _, r := range h.acc.State.Rollouts {
+	for _, r := range h.acceptor.State.Rollouts {
 		if r.Running() && len(byOrder[r.N]) > 0 {
-			h.judge(r).Add(byOrder[r.N])
+			h.evaluator(r).Add(byOrder[r.N])
 		}
 	}
 }
 
-func (h *hut) judge(r consensus.Rollout) *rollout.Judge {
-	j := h.course.judges[r.N]
+func (h *ControlServer) evaluator(r consensus.Rollout) *rollout.Judge {
+	j := h.rollouts.evaluators[r.N]
 	if j == nil {
-		j = rollout.NewJudge(h.n.options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.n.steady())
-		h.course.judges[r.N] = j
+		j = rollout.NewJudge(h.host.options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.host.steady())
+		h.rollouts.evaluators[r.N] = j
 	}
 	return j
 }
 
-// lagging counts, by order, the fronts that this hut heard lately and that do
+// laggingFronts counts, by order, the fronts that this hut heard lately and that do
 // not know the present phase; it runs on the desk.
-func (h *hut) lagging() map[int64]int {
+func (h *ControlServer) laggingFronts() map[int64]int {
 	out := map[int64]int{}
-	now := h.n.steady()
-	for _, r := range h.acc.State.Rollouts {
+	now := h.host.steady()
+	for _, r := range h.acceptor.State.Rollouts {
 		if !r.Running() {
 			continue
 		}
 		for _, f := range h.fronts {
-			if f.rolled < r.Slot && now < f.until {
+			if f.rolloutSlot < r.Slot && now < f.overdueAt {
 				out[r.N]++
 			}
 		}
@@ -157,62 +157,62 @@
 }
 
 // rolloutLoop carries the orders that run.
-func (h *hut) rolloutLoop() {
+func (h *ControlServer) rolloutLoop() {
 	for {
 		select {
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return
-		case <-time.After(h.n.heartbeat(0.15)):
+		case <-time.After(h.host.heartbeat(0.15)):
 		}
 		var steps []consensus.Rollout
-		var send *ledger
+		var send *RolloutTotals
 		to := ""
-		h.desk.ask(func() {
-			steps, send, to = h.carry()
+		h.loop.Call(func() {
+			steps, send, to = h.rolloutStep()
 		})
 		if send != nil && to != "" {
 			go func() {
-				_ = h.n.call.Ask(h.n.set().RopeAddr(to), pathLedger, *send, nil, h.n.heartbeat(0.5))
+				_ = h.host.call.Ask(h.host.set().RopeAddr(to), PathRolloutTotals, *send, nil, h.host.heartbeat(0.5))
 			}()
 		}
 		for _, r := range steps {
-			h.decide(r)
+			h.proposePhase(r)
 		}
 	}
 }
 
-// carry does what is due now: it notes the time, tells the node with the duty
+// rolloutStep does what is due now: it notes the time, tells the node with the duty
 // what was seen, or, on that node, gives the phases to propose. It runs on the desk.
-func (h *hut) carry() (steps []consensus.Rollout, send *ledger, to string) {
-	now, c := h.n.steady(), &h.course
-	running := slices.DeleteFunc(slices.Clone(h.acc.State.Rollouts), func(r consensus.Rollout) bool { return !r.Running() })
+func (h *ControlServer) rolloutStep() (steps []consensus.Rollout, send *RolloutTotals, to string) {
+	now, c := h.host.steady(), &h.rollouts
+	running := slices.DeleteFunc(slices.Clone(h.acceptor.State.Rollouts), func(r consensus.Rollout) bool { return !r.Running() })
 	if len(running) == 0 {
-		if len(c.judges)+len(c.told) > 0 {
-			c.ledger.Forget(h.runs)
-			clear(c.judges)
-			clear(c.told)
-			clear(c.behind)
+		if len(c.evaluators)+len(c.reporters) > 0 {
+			c.totals.Forget(h.rolloutRunning)
+			clear(c.evaluators)
+			clear(c.reporters)
+			clear(c.laggingReports)
 		}
 		return nil, nil, ""
 	}
-	if now-c.noted >= h.n.heartbeat(1) {
-		h.noteTerms(now)
+	if now-c.termsNotedAt >= h.host.heartbeat(1) {
+		h.persistTerms(now)
 	}
-	c.seq++
-	c.ledger.Forget(h.runs)
-	own := c.ledger.Own()
-	if !h.duty.Holds(now) {
-		for ip, o := range h.others {
-			if o.id == h.duty.Holder {
+	c.sequence++
+	c.totals.Forget(h.rolloutRunning)
+	own := c.totals.Own()
+	if !h.pollLease.Holds(now) {
+		for ip, o := range h.peers {
+			if o.id == h.pollLease.Holder {
 				to = ip
 			}
 		}
-		return nil, &ledger{h.acc.ID, h.life, c.seq, own, h.lagging()}, to
+		return nil, &RolloutTotals{h.acceptor.ID, h.incarnation, c.sequence, own, h.laggingFronts()}, to
 	}
-	h.weigh(c.ledger.Merge(h.acc.ID, h.life, c.seq, own))
-	lag := h.lagging()
+	h.evaluate(c.totals.Merge(h.acceptor.ID, h.incarnation, c.sequence, own))
+	lag := h.laggingFronts()
 	for _, r := range running {
-		j := h.judge(r)
+		j := h.evaluator(r)
 		j.Loaded = r.Phase != consensus.Canary
 		for _, a := range j.Step(now) {
 			if a.Bad {
@@ -222,16 +222,16 @@
 			}
 		}
 		f := rollout.Facts{
-			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.known[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
-			Behind: lag[r.N], Report: h.n.heartbeat(0.6), Settle: config.Ms(h.n.set().Bounds.ConfigEffectMs, 0.5),
+			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.phaseKnownAt[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
+			Behind: lag[r.N], Report: h.host.heartbeat(0.6), Settle: config.Ms(h.host.set().Bounds.ConfigEffectMs, 0.5),
 		}
-		for _, b := range c.behind {
-			if now-b.at < h.n.heartbeat(1) {
+		for _, b := range c.laggingReports {
+			if now-b.at < h.host.heartbeat(1) {
 				f.Behind += b.orders[r.N]
 			}
 		}
 		f.Ready, f.Old = h.capacity(r)
-		if s := rollout.Decide(f, h.n.options.Rollout, h.n.exposure()); s.Phase != "" {
+		if s := rollout.Decide(f, h.host.options.Rollout, h.host.exposure()); s.Phase != "" {
 			steps = append(steps, consensus.Rollout{N: r.N, Service: r.Service, Target: r.Target, Phase: s.Phase, SpentMs: f.Spent.Milliseconds(), ForMs: s.For.Milliseconds(), Asked: j.New, Of: j.New + j.Old, Why: s.Why})
 		}
 	}
@@ -240,7 +240,7 @@
 
 // capacity counts the slots of the new version's warm searchers, and those of
 // the old version's; it runs on the desk.
-func (h *hut) capacity(r consensus.Rollout) (ready, old int) {
+func (h *ControlServer) capacity(r consensus.Rollout) (ready, old int) {
 	if h.table == nil {
 		return 0, 0
 	}
@@ -258,31 +258,31 @@
 	return ready, old
 }
 
-// decide proposes a phase. Whoever proposes what, the log takes only a later
+// proposePhase proposes a phase. Whoever proposes what, the log takes only a later
 // phase of the same order.
-func (h *hut) decide(r consensus.Rollout) {
-	if !h.proposing.TryLock() {
+func (h *ControlServer) proposePhase(r consensus.Rollout) {
+	if !h.proposalLock.TryLock() {
 		return
 	}
-	defer h.proposing.Unlock()
-	until := time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
+	defer h.proposalLock.Unlock()
+	until := time.Now().Add(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3))
 	for try := 0; time.Now().Before(until); try++ {
-		s := h.state()
+		s := h.State()
 		now, ok := s.Rollout(r.Service)
-		if !ok || now.N != r.N || !now.Running() || now.Phase == r.Phase || !s.Votes(h.acc.ID) {
+		if !ok || now.N != r.N || !now.Running() || now.Phase == r.Phase || !s.Votes(h.acceptor.ID) {
 			return
 		}
-		if !h.round(s, &consensus.Value{Rollout: &r}) {
-			h.pause(try)
+		if !h.propose(s, &consensus.Value{Rollout: &r}) {
+			h.backOff(try)
 		}
 	}
 }
 
-// rolloutSize bounds an order in bytes.
-const rolloutSize = 16 << 10
+// maxRolloutBytes bounds an order in bytes.
+const maxRolloutBytes = 16 << 10
 
-// rolloutSay is what the operator is told of an order.
-type rolloutSay struct {
+// RolloutStatus is what the operator is told of an order.
+type RolloutStatus struct {
 	Service       string
 	State         string
 	TargetVersion string
@@ -297,17 +297,17 @@
 	Why   string `json:",omitempty"`
 }
 
-// lateOrder is for how long, of AcknowledgeMs, a copy of an earlier order is
+// duplicateOrderWindow is for how long, of AcknowledgeMs, a copy of an earlier order is
 // taken for one that was long on its way.
-const lateOrder = 3
+const duplicateOrderWindow = 3
 
-// handleRollout takes the operator's calls.
-func (h *hut) handleRollout(c *app.RequestContext, path string, until time.Time) {
+// HandleRollout takes the operator's calls.
+func (h *ControlServer) HandleRollout(c *app.RequestContext, path string, until time.Time) {
 	if string(c.Request.Header.Method()) == "GET" {
-		h.tellRollouts(c, strings.Trim(strings.TrimPrefix(path, pathRollout), "/"), until)
+		h.answerRollouts(c, strings.Trim(strings.TrimPrefix(path, PathRollouts), "/"), until)
 		return
 	}
-	if len(c.Request.Body()) > rolloutSize {
+	if len(c.Request.Body()) > maxRolloutBytes {
 		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
@@ -317,8 +317,8 @@
 		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	status, why := h.takeOrder(consensus.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
-	if status == 200 && !h.grown(until) {
+	status, why := h.decideOrder(consensus.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
+	if status == 200 && !h.waitReplicated(until) {
 		status, why = 503, "too few nodes hold it yet"
 	}
 	if status != 200 {
@@ -328,35 +328,35 @@
 	case 200:
 		transport.Answer(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
 	case 503:
-		h.n.unsettled(c, why)
+		h.host.unsettled(c, why)
 	default:
 		transport.Answer(c, status, map[string]string{"Error": why})
 	}
 }
 
-// takeOrder settles an order: acknowledged once a majority has chosen it. Past
+// decideOrder settles an order: acknowledged once a majority has chosen it. Past
 // its caller's patience nothing is proposed, and what was taken earlier starts
 // nothing again. It is refused only for what a majority knows.
-func (h *hut) takeOrder(o consensus.Rollout, until time.Time) (status int, why string) {
-	h.proposing.Lock()
-	defer h.proposing.Unlock()
+func (h *ControlServer) decideOrder(o consensus.Rollout, until time.Time) (status int, why string) {
+	h.proposalLock.Lock()
+	defer h.proposalLock.Unlock()
 	fresh := false
 	for try := 0; ; try++ {
-		s := h.state()
+		s := h.State()
 		old, known := s.Rollout(o.Service)
 		switch {
 		case known && old.Same(o):
 			return 200, ""
 		case time.Now().After(until):
 			return 503, "no majority agreed in time"
-		case h.apart():
+		case h.isolated():
 			return 503, "no majority can be reached"
-		case h.cameLate(s, o):
+		case h.isDuplicateOrder(s, o):
 			events.Log(events.OrderLate, "service", o.Service, "to", o.Target)
 			return 200, ""
 		}
 		runs := known && old.Running()
-		if runs || !serves(s, o.Service) {
+		if runs || !hasService(s, o.Service) {
 			switch {
 			case fresh && runs:
 				return 409, "Service has another rollout under way, to " + old.Target
@@ -364,13 +364,13 @@
 				return 400, "Service is not in the configuration"
 			}
 			// This node may be behind: a majority knows.
-			if _, fresh = h.readLocked(until); !fresh {
-				h.pause(try)
+			if _, fresh = h.readDuringProposal(until); !fresh {
+				h.backOff(try)
 			}
 			continue
 		}
 		if o.From = old.InForce(); !known {
-			h.desk.ask(func() {
+			h.loop.Call(func() {
 				if h.table != nil {
 					o.From = h.table.First[o.Service]
 				}
@@ -379,34 +379,34 @@
 		if time.Now().After(until) {
 			continue
 		}
-		if !h.roundBy(s, &consensus.Value{Rollout: &o}, until) {
-			h.pause(try)
+		if !h.proposeUntil(s, &consensus.Value{Rollout: &o}, until) {
+			h.backOff(try)
 		}
 	}
 }
 
-// cameLate tells whether an order is a copy of an earlier one of its service
+// isDuplicateOrder tells whether an order is a copy of an earlier one of its service
 // that was decided so lately that it may only now have arrived.
-func (h *hut) cameLate(s consensus.State, o consensus.Rollout) bool {
+func (h *ControlServer) isDuplicateOrder(s consensus.State, o consensus.Rollout) bool {
 	slot, ok := s.EarlierOrder(o)
 	if !ok {
 		return false
 	}
 	at := time.Duration(0)
-	h.desk.ask(func() { at = h.course.ordered[slot] })
-	return h.n.steady()-at < config.Ms(h.n.set().Bounds.AcknowledgeMs, lateOrder)
+	h.loop.Call(func() { at = h.rollouts.orderKnownAt[slot] })
+	return h.host.steady()-at < config.Ms(h.host.set().Bounds.AcknowledgeMs, duplicateOrderWindow)
 }
 
-// serves tells whether the configuration in force names a service.
-func serves(s consensus.State, service string) bool {
+// hasService tells whether the configuration in force names a service.
+func hasService(s consensus.State, service string) bool {
 	c, err := config.TakeConfiguration([]byte(s.Body))
 	return err == nil && slices.ContainsFunc(c.Services, func(x *config.Service) bool { return x.Name == service })
 }
 
-// tellRollouts answers with the last order of a service, or with all.
-func (h *hut) tellRollouts(c *app.RequestContext, service string, until time.Time) {
-	h.readFor(c, until, func(s consensus.State) {
-		all := h.rollouts(s)
+// answerRollouts answers with the last order of a service, or with all.
+func (h *ControlServer) answerRollouts(c *app.RequestContext, service string, until time.Time) {
+	h.answerRead(c, until, func(s consensus.State) {
+		all := h.rolloutStatuses(s)
 		if service == "" {
 			transport.Answer(c, 200, map[string]any{"Rollouts": all})
 			return
@@ -421,14 +421,14 @@
 	})
 }
 
-// rollouts tells how far the orders are, the last changed first.
-func (h *hut) rollouts(s consensus.State) []rolloutSay {
-	out := []rolloutSay{}
-	h.desk.ask(func() {
+// rolloutStatuses tells how far the orders are, the last changed first.
+func (h *ControlServer) rolloutStatuses(s consensus.State) []RolloutStatus {
+	out := []RolloutStatus{}
+	h.loop.Call(func() {
 		for _, r := range slices.Backward(s.Rollouts) {
-			x := rolloutSay{Service: r.Service, State: r.State(), TargetVersion: r.Target, FromVersion: r.From, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.Asked, Of: r.Of, Why: r.Why}
+			x := RolloutStatus{Service: r.Service, State: r.State(), TargetVersion: r.Target, FromVersion: r.From, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.Asked, Of: r.Of, Why: r.Why}
 			if r.Running() {
-				x.LeftS = max(0, x.DurationS-h.course.clock.Spent(r.N, h.n.steady()).Seconds())
+				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.N, h.host.steady()).Seconds())
 			}
 			out = append(out, x)
 		}
--- a/internal/lodge/rollout_test.go
+++ b/internal/lodge/rollout_test.go
@@ -17,7 +17,7 @@
 }
 
 // rollout reads how far the plain service's order is.
-func (w *town) rollout(n int) (status int, r rolloutSay) {
+func (w *town) rollout(n int) (status int, r RolloutStatus) {
 	status, body := w.operate(n, "GET", "/-/rollouts/plain", "", "")
 	_ = json.Unmarshal([]byte(body), &r)
 	return status, r
@@ -29,7 +29,7 @@
 	w.t.Helper()
 	w.eventually("the fronts hold "+string(phase), func() bool {
 		for _, n := range []string{"11", "12"} {
-			if l := w.nodes[n].trail.head.Current().Lanes["plain"]; l == nil || l.Phase != phase {
+			if l := w.nodes[n].trail.frontend.Current().Lanes["plain"]; l == nil || l.Phase != phase {
 				return false
 			}
 		}
@@ -183,21 +183,21 @@
 		w.searcher("plain", id).set("500")
 	}
 	holder := w.nodes["1"].hut
-	holder.proposing.Lock() // it can't propose
-	defer holder.proposing.Unlock()
+	holder.proposalLock.Lock() // it can't propose
+	defer holder.proposalLock.Unlock()
 	if status, body := w.roll(3, "v2", 40); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
 	w.eventually("the holder's charts speak", func() (bad bool) {
-		holder.desk.ask(func() {
-			for _, j := range holder.course.judges {
+		holder.loop.Call(func() {
+			for _, j := range holder.rollouts.evaluators {
 				bad = bad || j.Bad() != ""
 			}
 		})
 		return bad
 	})
 	// On a slow machine the others may have thought the holder gone already.
-	if _, r := w.rollout(2); r.State != "running" && w.nodes["2"].Status().Hut.Holder == holder.acc.ID {
+	if _, r := w.rollout(2); r.State != "running" && w.nodes["2"].Status().Hut.Holder == holder.acceptor.ID {
 		t.Fatalf("decided already: %+v", r)
 	}
 	w.stop("1")
@@ -214,8 +214,8 @@
 	}
 	w.stop("11")
 	again := w.run(11, false, 1, 2, 3)
-	w.eventually("it serves", func() bool { return again.trail.ready.Load() && again.trail.ln.Load() != nil })
-	l := again.trail.head.Current().Lanes["plain"]
+	w.eventually("it serves", func() bool { return again.trail.ready.Load() && again.trail.listener.Load() != nil })
+	l := again.trail.frontend.Current().Lanes["plain"]
 	if l == nil || l.From != "v1" || l.Target != "v2" || l.Phase != "canary" {
 		t.Fatalf("ready without the order: %+v", l)
 	}
@@ -294,7 +294,7 @@
 	defer repeat(3, func(i int) { w.control(i+1, "PUT", "0", configBody(3, "s1")) })()
 	time.Sleep(100 * time.Millisecond)
 	node := w.run(5, false, 1, 2, 3)
-	w.eventually("the fifth votes", func() bool { s := node.hut.state(); return s.Votes(node.hut.acc.ID) })
+	w.eventually("the fifth votes", func() bool { s := node.hut.State(); return s.Votes(node.hut.acceptor.ID) })
 }
 
 // Without a majority nothing is decided and the new version is left alone;
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -232,7 +232,7 @@
 	// Orders get long terms, for slow machines, and are tried early in them.
 	opt.Rollout.TrialAt = 0.1
 	if n > 20 {
-		opt.Role = RoleLarder
+		opt.Role = RoleCache
 	}
 	node, err := open(w.settings(n, first, seeds...), "", opt)
 	if err != nil {
@@ -257,13 +257,13 @@
 		l.Close()
 	}
 	if n.trail != nil {
-		if l := n.trail.ln.Load(); l != nil {
+		if l := n.trail.listener.Load(); l != nil {
 			(*l).Close()
 		}
 	}
 	if n.hut != nil {
-		n.hut.cellar.Close(time.Second)
-		n.hut.desk.close()
+		n.hut.store.Close(time.Second)
+		n.hut.loop.Close()
 	}
 }
 
--- a/internal/lodge/start_test.go
+++ b/internal/lodge/start_test.go
@@ -15,7 +15,7 @@
 )
 
 // startHut opens the hut of node 1, without its loops.
-func startHut(t *testing.T, w *town, first bool) *hut {
+func startHut(t *testing.T, w *town, first bool) *ControlServer {
 	t.Helper()
 	n, err := open(w.settings(1, first, 1, 2, 3), "", DefaultOptions())
 	if err != nil {
@@ -29,15 +29,15 @@
 	w := newTown(t)
 	for life := int64(1); life <= 3; life++ {
 		h := startHut(t, w, life == 1)
-		if h.life != life || h.acc.ID != consensus.GenesisID(w.ip(1)) || len(h.acc.State.Voters) != 3 {
-			t.Errorf("start %d: life %d as %s with %d voters", life, h.life, h.acc.ID, len(h.acc.State.Voters))
+		if h.incarnation != life || h.acceptor.ID != consensus.GenesisID(w.ip(1)) || len(h.acceptor.State.Voters) != 3 {
+			t.Errorf("start %d: life %d as %s with %d voters", life, h.incarnation, h.acceptor.ID, len(h.acceptor.State.Voters))
 		}
 		// What it was told of versions under way stands under that life, so
 		// that a later one's word is never taken for an earlier one's.
-		var send *ledger
-		h.desk.ask(func() {
-			h.acc.State.Rollouts = []consensus.Rollout{{N: 1, Service: "plain", Target: "v2", Phase: consensus.Canary}}
-			_, send, _ = h.carry()
+		var send *RolloutTotals
+		h.loop.Call(func() {
+			h.acceptor.State.Rollouts = []consensus.Rollout{{N: 1, Service: "plain", Target: "v2", Phase: consensus.Canary}}
+			_, send, _ = h.rolloutStep()
 		})
 		if send == nil || send.Life != life {
 			t.Errorf("start %d: its ledger is %+v", life, send)
@@ -47,12 +47,12 @@
 		if err := os.CopyFS(after, os.DirFS(w.dirs["hut-1"])); err != nil {
 			t.Fatal(err)
 		}
-		h.cellar.Close(time.Second)
+		h.store.Close(time.Second)
 		c, err := storage.Open(after, time.Second, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if raw, _ := c.Get(recLife); string(raw) != strconv.FormatInt(life, 10) {
+		if raw, _ := c.Get(recordIncarnation); string(raw) != strconv.FormatInt(life, 10) {
 			t.Errorf("start %d: %q is on disk", life, raw)
 		}
 		c.Close(time.Second)
@@ -71,10 +71,10 @@
 	}
 	c.Close(time.Second)
 	h := startHut(t, w, true)
-	if h.acc.ID != genesis {
-		t.Errorf("with an empty store at the first start: %s", h.acc.ID)
+	if h.acceptor.ID != genesis {
+		t.Errorf("with an empty store at the first start: %s", h.acceptor.ID)
 	}
-	h.cellar.Close(time.Second)
+	h.store.Close(time.Second)
 	files, _ := filepath.Glob(filepath.Join(dir, "cellar", "MANIFEST-*"))
 	if len(files) == 0 {
 		t.Fatal("no file to damage")
@@ -90,22 +90,22 @@
 	}
 	c.Close(time.Second)
 	h = startHut(t, w, true)
-	id := h.acc.ID
-	if !strings.HasPrefix(id, "later-") || len(h.acc.State.Voters) != 0 {
-		t.Errorf("after the store was set aside: %s with %d voters", id, len(h.acc.State.Voters))
+	id := h.acceptor.ID
+	if !strings.HasPrefix(id, "later-") || len(h.acceptor.State.Voters) != 0 {
+		t.Errorf("after the store was set aside: %s with %d voters", id, len(h.acceptor.State.Voters))
 	}
-	h.cellar.Close(time.Second)
+	h.store.Close(time.Second)
 	h = startHut(t, w, true)
-	if h.acc.ID != id || h.life != 2 {
-		t.Errorf("at the next start: %s in life %d, was %s", h.acc.ID, h.life, id)
+	if h.acceptor.ID != id || h.incarnation != 2 {
+		t.Errorf("at the next start: %s in life %d, was %s", h.acceptor.ID, h.incarnation, id)
 	}
-	h.cellar.Close(time.Second)
+	h.store.Close(time.Second)
 }
 
 // The first write is tried again while there is time, with the same records, and fails then.
 func TestFirstWriteIsTriedAgain(t *testing.T) {
 	bad := errors.New("disk is full")
-	records := map[string][]byte{recLife: []byte("1")}
+	records := map[string][]byte{recordIncarnation: []byte("1")}
 	tries := 0
 	put := func(r map[string][]byte, then func(error)) {
 		if tries++; !maps.EqualFunc(r, records, func(a, b []byte) bool { return string(a) == string(b) }) {
@@ -117,12 +117,12 @@
 			then(nil)
 		}
 	}
-	if err := writeFirst(put, records, time.Now().Add(time.Minute), time.Millisecond); err != nil || tries != 4 {
+	if err := writeInitialRecords(put, records, time.Now().Add(time.Minute), time.Millisecond); err != nil || tries != 4 {
 		t.Errorf("after %d tries: %v", tries, err)
 	}
 	tries = -1000
 	start := time.Now()
-	if err := writeFirst(put, records, start.Add(30*time.Millisecond), 5*time.Millisecond); !errors.Is(err, bad) || time.Since(start) < 30*time.Millisecond {
+	if err := writeInitialRecords(put, records, start.Add(30*time.Millisecond), 5*time.Millisecond); !errors.Is(err, bad) || time.Since(start) < 30*time.Millisecond {
 		t.Errorf("after %v: %v", time.Since(start), err)
 	}
 }
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -7,8 +7,8 @@
 	"swiftswitch/internal/endpoints"
 )
 
-// HutStatus is the hut's part of the status.
-type HutStatus struct {
+// ControlStatus is the hut's part of the status.
+type ControlStatus struct {
 	ID      string
 	Slot    int64
 	Version int64
@@ -44,32 +44,32 @@
 	Purge      int64    `json:",omitempty"`
 	Larders    []string `json:",omitempty"`
 	// Rollouts are the services' last orders, the last changed first.
-	Rollouts []rolloutSay `json:",omitempty"`
+	Rollouts []RolloutStatus `json:",omitempty"`
 }
 
-func (h *hut) status() *HutStatus {
-	st := &HutStatus{Fronts: map[string]int64{}}
-	h.desk.ask(func() {
-		s, now := h.acc.State, h.n.steady()
-		st.ID, st.Slot, st.Version, st.Votes = h.acc.ID, s.Slot, s.Version, s.Votes(h.acc.ID)
+func (h *ControlServer) Status() *ControlStatus {
+	st := &ControlStatus{Fronts: map[string]int64{}}
+	h.loop.Call(func() {
+		s, now := h.acceptor.State, h.host.steady()
+		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.Votes(h.acceptor.ID)
 		var silent []time.Duration
 		for _, v := range s.Voters {
 			st.Voters = append(st.Voters, v.ID+"@"+v.IP)
-			silent = append(silent, h.duty.Silent(v.ID, now))
+			silent = append(silent, h.pollLease.Silent(v.ID, now))
 		}
 		if slices.Sort(silent); len(silent) > 0 {
 			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
 		}
-		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lone(now), h.life, h.acc.StateKept(), s.VotersSlot
-		st.Promised, st.Accepted = h.acc.Promised.String(), h.acc.Accepted.String()
+		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.StateKept(), s.VotersSlot
+		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.Accepted.String()
 		st.Resends, st.Changes = len(s.Taken), s.TakenSeq
-		for _, o := range h.others {
-			if now-o.at < h.n.heartbeat(2) {
+		for _, o := range h.peers {
+			if now-o.heardAt < h.host.heartbeat(2) {
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
 			}
 		}
-		st.Epoch, st.Holder, st.Polling = h.duty.Epoch, h.duty.Holder, h.duty.Holds(now)
-		if sent, ok := h.duty.Since(); ok && st.Polling {
+		st.Epoch, st.Holder, st.Polling = h.pollLease.Epoch, h.pollLease.Holder, h.pollLease.Holds(now)
+		if sent, ok := h.pollLease.Since(); ok && st.Polling {
 			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
 		}
 		if h.table != nil {
@@ -83,6 +83,6 @@
 			st.Larders = append(st.Larders, l.Name+"@"+l.IP)
 		}
 	})
-	st.Rollouts = h.rollouts(h.state())
+	st.Rollouts = h.rolloutStatuses(h.State())
 	return st
 }
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -6,14 +6,14 @@
 
 // The searcher table between huts.
 
-// pastKept is how many tables back a hut can tell the difference.
-const pastKept = 8
+// maxPastTables is how many tables back a hut can tell the difference.
+const maxPastTables = 8
 
-// delta is what changed in the table since the one that is held, packed once
+// tableDelta is what changed in the table since the one that is held, packed once
 // for all who hold that; it runs on the desk.
-func (h *hut) delta(held endpoints.Stamp) []byte {
+func (h *ControlServer) tableDelta(held endpoints.Stamp) []byte {
 	var from *endpoints.Table
-	for _, t := range h.past {
+	for _, t := range h.pastTables {
 		if t.Stamp == held {
 			from = t
 		}
@@ -21,35 +21,35 @@
 	if from == nil {
 		held = endpoints.Stamp{}
 	}
-	d, ok := h.deltas[held]
+	d, ok := h.tableDeltas[held]
 	if !ok {
-		d = pack(encode("delta", endpoints.Diff(from, h.table)))
-		h.deltas[held] = d
+		d = GzipPack(Encode("delta", endpoints.Diff(from, h.table)))
+		h.tableDeltas[held] = d
 	}
 	return d
 }
 
-// bring tells another hut what changed in the table; it runs on the desk.
-func (h *hut) bring(ip string, held endpoints.Stamp) {
-	stamp, d, whole := h.table.Stamp, h.delta(held), h.delta(endpoints.Stamp{})
+// sendTable tells another hut what changed in the table; it runs on the desk.
+func (h *ControlServer) sendTable(ip string, held endpoints.Stamp) {
+	stamp, d, whole := h.table.Stamp, h.tableDelta(held), h.tableDelta(endpoints.Stamp{})
 	go func() {
-		addr, within := h.n.set().RopeAddr(ip), h.n.heartbeat(0.8)
-		var say tableSay
-		if err := h.n.call.Ask(addr, pathTable, tableAsk{d}, &say, within); err == nil && say.Stamp.Less(stamp) {
-			_ = h.n.call.Ask(addr, pathTable, tableAsk{whole}, &say, within)
+		addr, within := h.host.set().RopeAddr(ip), h.host.heartbeat(0.8)
+		var say TableResponse
+		if err := h.host.call.Ask(addr, PathTable, TableRequest{d}, &say, within); err == nil && say.Stamp.Less(stamp) {
+			_ = h.host.call.Ask(addr, PathTable, TableRequest{whole}, &say, within)
 		}
 	}()
 }
 
-// takeDelta takes a change of the table from another hut and tells which table
+// applyTableDelta takes a change of the table from another hut and tells which table
 // there is now; it runs on the desk.
-func (h *hut) takeDelta(d *endpoints.Delta) endpoints.Stamp {
+func (h *ControlServer) applyTableDelta(d *endpoints.Delta) endpoints.Stamp {
 	from := h.table
 	if d.From == (endpoints.Stamp{}) {
 		from = nil
 	}
 	if t := from.Follow(d); t != nil {
-		h.merge(t)
+		h.mergeTable(t)
 	}
 	if h.table == nil {
 		return endpoints.Stamp{}
@@ -58,13 +58,13 @@
 }
 
 // setTable puts a newer table in force; it runs on the desk.
-func (h *hut) setTable(t *endpoints.Table) {
+func (h *ControlServer) setTable(t *endpoints.Table) {
 	if h.table != nil {
-		h.past = append(h.past, h.table)
-		h.past = h.past[max(0, len(h.past)-pastKept):]
+		h.pastTables = append(h.pastTables, h.table)
+		h.pastTables = h.pastTables[max(0, len(h.pastTables)-maxPastTables):]
 	}
 	h.table = t
-	clear(h.deltas)
-	h.record(recTable, t, nil)
-	h.announce()
+	clear(h.tableDeltas)
+	h.writeRecord(recordTable, t, nil)
+	h.notifyWatchers()
 }
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -63,11 +63,11 @@
 	Hearsay bool
 }
 
-// RoleLarder is the role of nodes that keep copies.
-const RoleLarder = "larder"
+// RoleCache is the role of nodes that keep copies.
+const RoleCache = "larder"
 
 // Roles are the roles that there are; the others follow from the settings.
-var Roles = []string{"hut", "trail", RoleLarder}
+var Roles = []string{"hut", "trail", RoleCache}
 
 // DefaultOptions are the defaults.
 func DefaultOptions() Options {
@@ -96,157 +96,157 @@
 	return o.Rollout.Check()
 }
 
-// trail is the part of a node that serves clients. Its tables belong to one desk.
-type trail struct {
-	n    *Node
-	opt  Options
-	desk *desk
-
-	rng    *upstream.Range
-	ledger *ratelimit.Ledger
-	head   *frontend.Head
-	pool   *ants.Pool
-	choice *relay.Choice
-	ready  atomic.Bool
-	// larder: the node serves no clients, it keeps copies.
-	larder  bool
-	pantry  *frontend.Pantry
-	kitchen *kitchen
-	larders atomic.Pointer[larders]
-	ways    *relay.Choice
-	// heardAt is when a hut last answered; fronts is how many fronts there are.
-	heardAt atomic.Int64
-	fronts  atomic.Int64
+// FrontServer is the part of a node that serves clients. Its tables belong to one desk.
+type FrontServer struct {
+	host    *Node
+	options Options
+	loop    *Loop
+
+	endpoints   *upstream.Range
+	retryBudget *ratelimit.Ledger
+	frontend    *frontend.Head
+	pool        *ants.Pool
+	relays      *relay.Choice
+	ready       atomic.Bool
+	// cacheNode: the node serves no clients, it keeps copies.
+	cacheNode       bool
+	cacheHandler    *frontend.Pantry
+	fetcher         *Fetcher
+	cacheNodes      atomic.Pointer[cacheNodeList]
+	cacheNodeHealth *relay.Choice
+	// majorityHeardAt is when a hut last answered; fronts is how many fronts there are.
+	majorityHeardAt atomic.Int64
+	frontCount      atomic.Int64
 
 	// Owned by the desk.
-	board   *shardmap.Board
-	maps    map[int64]*routing.Map
-	table   *endpoints.Table
-	huts    []hutAt
-	watched map[string]bool
-	// picked are the huts that this node watches, the first before the
+	layouts      *shardmap.Board
+	routeTables  map[int64]*routing.Map
+	table        *endpoints.Table
+	controlNodes []ControlNode
+	watching     map[string]bool
+	// watchTargets are the huts that this node watches, the first before the
 	// others; bad are those that did not answer, until when.
-	picked []string
-	bad    map[string]time.Duration
-	counts map[string]upstream.Fronts
-	// held is what the watchers tell the huts that this node holds.
-	held     atomic.Pointer[holds]
+	watchTargets      []string
+	unresponsiveUntil map[string]time.Duration
+	frontCounts       map[string]upstream.Fronts
+	// progress is what the watchers tell the huts that this node holds.
+	progress atomic.Pointer[progress]
 	fetching atomic.Bool
-	// config is the newest configuration that was fetched.
-	config atomic.Pointer[config.Configuration]
+	// configuration is the newest configuration that was fetched.
+	configuration atomic.Pointer[config.Configuration]
 
-	// placed: the node knows where the huts are, and so which is the nearest.
-	placed atomic.Bool
-	// heard is the last hearsay that the hut watched first told; missed wakes
+	// locatedControl: the node knows where the huts are, and so which is the nearest.
+	locatedControl atomic.Bool
+	// unreachableRevision is the last hearsay that the hut watched first told; missed wakes
 	// the loop that tells it of searchers that did not answer.
-	heard  atomic.Int64
-	missed chan struct{}
-	// rosterAt is when the node last asked for other fronts.
-	rosterAt atomic.Int64
+	unreachableRevision atomic.Int64
+	endpointMissed      chan struct{}
+	// rosterAskedAt is when the node last asked for other fronts.
+	rosterAskedAt atomic.Int64
 
-	scout scout
+	rollouts rolloutFollower
 
-	ln   atomic.Pointer[net.Listener]
-	gate transport.Gate
-	// def are the limits for clients where the operator gives none.
-	def routing.Limits
+	listener atomic.Pointer[net.Listener]
+	gate     transport.Gate
+	// defaultLimits are the limits for clients where the operator gives none.
+	defaultLimits routing.Limits
 }
 
-// holds is what a node has of all that the huts tell; it is never changed.
-type holds struct {
-	slot, version, purge, rolled int64
-	stamp                        endpoints.Stamp
+// progress is what a node has of all that the huts tell; it is never changed.
+type progress struct {
+	slot, version, purge, rolloutSlot int64
+	stamp                             endpoints.Stamp
 }
 
-func newTrail(n *Node, opt Options) (*trail, error) {
+func NewFrontServer(n *Node, opt Options) (*FrontServer, error) {
 	s := n.set()
 	b := s.Bounds
 	pool, err := ants.NewPool(int(max(256, s.Limits.FileDescriptors/2)), ants.WithNonblocking(true), ants.WithExpiryDuration(n.heartbeat(8)))
 	if err != nil {
 		return nil, err
 	}
-	t := &trail{n: n, opt: opt, desk: newDesk(), pool: pool, maps: map[int64]*routing.Map{}, watched: map[string]bool{}, bad: map[string]time.Duration{}, counts: map[string]upstream.Fronts{}, missed: make(chan struct{}, 1)}
-	t.def = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Ms(b.InTouchMs, 1), Idle: config.Ms(b.InTouchMs, 3)}
-	t.rng = upstream.New(upstream.Options{
+	t := &FrontServer{host: n, options: opt, loop: NewLoop(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
+	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Ms(b.InTouchMs, 1), Idle: config.Ms(b.InTouchMs, 3)}
+	t.endpoints = upstream.New(upstream.Options{
 		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Ms(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
 		KeepIdle: config.Ms(b.InTouchMs, 1), Settle: config.Ms(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Ms(b.InTouchMs, 0.2),
 		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Ms(b.InTouchMs, 0.75),
 	})
-	t.ledger = ratelimit.New(ratelimit.Rules{
+	t.retryBudget = ratelimit.New(ratelimit.Rules{
 		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Sec(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
 	}, n.steady())
-	guide := &scatter.Guide{Range: t.rng, Ledger: t.ledger, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
-	t.head = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
+	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
+	t.frontend = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
 	if opt.Saddle {
-		t.choice = relay.NewChoice(n.heartbeat(1))
-		t.head.SetAcross(t.choice, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
-			err := n.call.Ask(n.set().RopeAddr(ip), pathSaddle, ask, say, within)
+		t.relays = relay.NewChoice(n.heartbeat(1))
+		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
+			err := n.call.Ask(n.set().RopeAddr(ip), PathRelay, ask, say, within)
 			if err != nil {
 				// Others may do better.
-				t.rosterAt.Store(0)
+				t.rosterAskedAt.Store(0)
 			}
 			return err
 		})
 	}
-	t.larder = opt.Role == RoleLarder
-	t.ways = relay.NewChoice(n.heartbeat(1))
+	t.cacheNode = opt.Role == RoleCache
+	t.cacheNodeHealth = relay.NewChoice(n.heartbeat(1))
 	memory := s.Limits.MemoryMb * (1 << 20)
 	if memory <= 0 {
 		memory = 256 << 20
 	}
-	t.pantry = frontend.NewPantry(int(memory*opt.Shelf), n.steady, t)
-	t.head.SetPantry(t.pantry)
-	if t.larder {
-		t.kitchen = newKitchen(n, t, int(memory*opt.LarderShelf))
-		n.kitchen = t.kitchen
+	t.cacheHandler = frontend.NewPantry(int(memory*opt.Shelf), n.steady, t)
+	t.frontend.SetPantry(t.cacheHandler)
+	if t.cacheNode {
+		t.fetcher = NewFetcher(n, t, int(memory*opt.LarderShelf))
+		n.kitchen = t.fetcher
 	} else {
-		t.kitchen = newKitchen(n, t, int(memory*opt.Shelf/4))
+		t.fetcher = NewFetcher(n, t, int(memory*opt.Shelf/4))
 	}
-	t.board = shardmap.New(shardmap.Options{
+	t.layouts = shardmap.New(shardmap.Options{
 		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Ms(b.ConfigEffectMs, opt.SwitchWait),
 	})
-	t.held.Store(&holds{slot: -1, purge: -1, rolled: -1})
-	t.rng.Full = func(id string) {
-		t.desk.post(func() { t.board.Answered(id, n.steady()); t.tick() })
+	t.progress.Store(&progress{slot: -1, purge: -1, rolloutSlot: -1})
+	t.endpoints.Full = func(id string) {
+		t.loop.Submit(func() { t.layouts.Answered(id, n.steady()); t.advanceLayouts() })
 	}
-	t.rng.Silent = func(id string) {
-		t.desk.post(func() { t.board.Silent(id, n.steady()); t.tick() })
+	t.endpoints.Silent = func(id string) {
+		t.loop.Submit(func() { t.layouts.Silent(id, n.steady()); t.advanceLayouts() })
 	}
-	t.scout.reset()
-	t.rng.Seen = t.seen
-	t.rng.Miss = func() {
+	t.rollouts.reset()
+	t.endpoints.Seen = t.recordAttempt
+	t.endpoints.Miss = func() {
 		select {
-		case t.missed <- struct{}{}:
+		case t.endpointMissed <- struct{}{}:
 		default:
 		}
 	}
 	return t, nil
 }
 
-func (t *trail) start() {
-	t.desk.ask(func() {
-		for _, ip := range t.n.set().SeedIPs() {
-			t.huts = append(t.huts, hutAt{IP: ip})
+func (t *FrontServer) Start() {
+	t.loop.Call(func() {
+		for _, ip := range t.host.set().SeedIPs() {
+			t.controlNodes = append(t.controlNodes, ControlNode{IP: ip})
 		}
-		t.pick()
+		t.pickWatchTargets()
 	})
-	go t.kitchen.serve()
-	if t.larder {
-		go t.kitchen.enlistLoop()
+	go t.fetcher.Run()
+	if t.cacheNode {
+		go t.fetcher.JoinLoop()
 	} else {
-		t.open()
+		t.serveClients()
 		go t.serveReadiness()
-		if t.opt.Hearsay {
-			go t.hearsayLoop()
+		if t.options.Hearsay {
+			go t.reportUnreachableLoop()
 		}
 	}
 	go t.tickLoop()
-	go t.tallyLoop()
+	go t.reportLoop()
 }
 
-func (t *trail) hutIPs() (out []string) {
-	t.desk.ask(func() {
-		for _, h := range t.huts {
+func (t *FrontServer) ControlIPs() (out []string) {
+	t.loop.Call(func() {
+		for _, h := range t.controlNodes {
 			out = append(out, h.IP)
 		}
 	})
@@ -265,42 +265,42 @@
 	return 2
 }
 
-// pick chooses the huts to watch: one more than may be lost at once, the
+// pickWatchTargets chooses the huts to watch: one more than may be lost at once, the
 // nearest first, those that did not answer lately last. However many fronts
 // and huts there are, a front holds that many calls. It runs on the desk.
-func (t *trail) pick() {
-	n, now := t.n, t.n.steady()
-	order := slices.Clone(t.huts)
-	rank := func(h hutAt) (int, int, uint64) {
+func (t *FrontServer) pickWatchTargets() {
+	n, now := t.host, t.host.steady()
+	order := slices.Clone(t.controlNodes)
+	rank := func(h ControlNode) (int, int, uint64) {
 		bad := 0
-		if now < t.bad[h.IP] {
+		if now < t.unresponsiveUntil[h.IP] {
 			bad = 1
 		}
 		return bad, n.distance(h.Zone), upstream.Draw(n.set().NodeName + " " + h.IP)
 	}
-	slices.SortFunc(order, func(a, b hutAt) int {
+	slices.SortFunc(order, func(a, b ControlNode) int {
 		ab, ad, ah := rank(a)
 		bb, bd, bh := rank(b)
 		return cmp.Or(cmp.Compare(ab, bb), cmp.Compare(ad, bd), cmp.Compare(ah, bh))
 	})
 	most := max(2, int(n.set().ToleratedLosses.GetMachines())+1)
-	if t.board.LastBuilt == 0 {
+	if t.layouts.LastBuilt == 0 {
 		// At the start whoever answers first will do.
 		most = len(order)
 	}
-	t.picked = nil
+	t.watchTargets = nil
 	for _, h := range order[:min(most, len(order))] {
-		t.picked = append(t.picked, h.IP)
-		if !t.watched[h.IP] {
-			t.watched[h.IP] = true
+		t.watchTargets = append(t.watchTargets, h.IP)
+		if !t.watching[h.IP] {
+			t.watching[h.IP] = true
 			go t.watch(h.IP)
 		}
 	}
 }
 
 // watch keeps asking one hut for news, as long as it is one of those picked.
-func (t *trail) watch(ip string) {
-	n := t.n
+func (t *FrontServer) watch(ip string) {
+	n := t.host
 	brief := true
 	fails := 0
 	hold := n.heartbeat(1)
@@ -311,58 +311,58 @@
 		default:
 		}
 		stay, first := false, false
-		t.desk.ask(func() {
-			at := slices.Index(t.picked, ip)
+		t.loop.Call(func() {
+			at := slices.Index(t.watchTargets, ip)
 			if stay, first = at >= 0, at == 0; !stay {
-				delete(t.watched, ip)
-				delete(t.counts, ip)
+				delete(t.watching, ip)
+				delete(t.frontCounts, ip)
 			}
 		})
 		if !stay {
 			return
 		}
-		h := t.held.Load()
-		ask := watchAsk{
-			Name: n.set().NodeName, IP: n.set().IpAddress, Slot: h.slot, Purge: h.purge, Rolled: h.rolled, Stamp: h.stamp, Brief: brief && !first,
-			Zone: n.set().Zone, Ready: t.ready.Load() && !n.leaving.Load(), Out: t.rng.Out(), HoldMs: hold.Milliseconds(),
-			First: first, Larder: t.larder, Roster: first && t.rosterDue(), Hello: !t.placed.Load(), Heard: t.heard.Load(),
+		h := t.progress.Load()
+		ask := WatchRequest{
+			Name: n.set().NodeName, IP: n.set().IpAddress, Slot: h.slot, Purge: h.purge, Rolled: h.rolloutSlot, Stamp: h.stamp, Brief: brief && !first,
+			Zone: n.set().Zone, Ready: t.ready.Load() && !n.leaving.Load(), Out: t.endpoints.Out(), HoldMs: hold.Milliseconds(),
+			First: first, Larder: t.cacheNode, Roster: first && t.rosterDue(), Hello: !t.locatedControl.Load(), Heard: t.unreachableRevision.Load(),
 		}
-		var say watchSay
-		err := n.call.Ask(n.set().RopeAddr(ip), pathWatch, ask, &say, hold+n.heartbeat(0.8))
+		var say WatchResponse
+		err := n.call.Ask(n.set().RopeAddr(ip), PathWatch, ask, &say, hold+n.heartbeat(0.8))
 		if err != nil {
 			fails++
 			hold = n.heartbeat(1)
-			t.desk.ask(func() {
-				delete(t.counts, ip)
+			t.loop.Call(func() {
+				delete(t.frontCounts, ip)
 				if fails >= 2 {
-					t.bad[ip] = n.steady() + n.heartbeat(4)
-					t.pick()
+					t.unresponsiveUntil[ip] = n.steady() + n.heartbeat(4)
+					t.pickWatchTargets()
 				}
 			})
 			// A hut that starts together with this node is there in a moment.
 			time.Sleep(time.Duration(float64(min(n.heartbeat(0.02)<<min(fails, 4), n.heartbeat(0.25))) * (0.5 + rand.Float64())))
 			if fails > 2 {
-				t.more()
+				t.discoverControlNodes()
 			}
 			continue
 		}
 		fails = 0
 		var d *endpoints.Delta
 		if say.Delta != nil {
-			if d, err = unpackDelta(say.Delta, n.maxMessage()); err != nil {
-				events.Log(events.MessageRefused, "from", ip, "path", pathWatch, "err", err)
+			if d, err = UnpackTableDelta(say.Delta, n.maxMessage()); err != nil {
+				events.Log(events.MessageRefused, "from", ip, "path", PathWatch, "err", err)
 				d = nil
 			}
 		}
-		t.desk.ask(func() { t.news(ip, ask, say, d) })
+		t.loop.Call(func() { t.onWatchResponse(ip, ask, say, d) })
 		if ask.Hello {
-			if !t.placed.Load() {
+			if !t.locatedControl.Load() {
 				time.Sleep(n.heartbeat(0.1))
 			}
 			continue
 		}
-		behind := func() bool { return t.held.Load().stamp.Less(say.Stamp) }
-		late := func() bool { return t.held.Load().version < say.Version }
+		behind := func() bool { return t.progress.Load().stamp.Less(say.Stamp) }
+		late := func() bool { return t.progress.Load().version < say.Version }
 		if !first && (behind() || late()) {
 			// The hut watched first brings it cheaper, if it is there.
 			time.Sleep(n.heartbeat(0.05))
@@ -373,7 +373,7 @@
 			hold = n.longHold()
 		}
 		for i := 0; late() && i < 20; i++ {
-			t.fetch(ip)
+			t.fetchConfiguration(ip)
 			if late() {
 				time.Sleep(n.heartbeat(0.02))
 			}
@@ -382,72 +382,72 @@
 }
 
 // rosterDue tells whether it is time to ask for other fronts.
-func (t *trail) rosterDue() bool {
-	last := time.Duration(t.rosterAt.Load())
-	return last == 0 || t.n.steady()-last > t.n.heartbeat(5)
+func (t *FrontServer) rosterDue() bool {
+	last := time.Duration(t.rosterAskedAt.Load())
+	return last == 0 || t.host.steady()-last > t.host.heartbeat(5)
 }
 
-// more looks for huts in the view when those known don't answer.
-func (t *trail) more() {
+// discoverControlNodes looks for huts in the view when those known don't answer.
+func (t *FrontServer) discoverControlNodes() {
 	var found []string
-	t.n.view.ask(func() { found = t.n.way.Huts() })
-	found = append(found, t.n.set().SeedIPs()...)
-	t.desk.ask(func() {
+	t.host.view.Call(func() { found = t.host.way.Huts() })
+	found = append(found, t.host.set().SeedIPs()...)
+	t.loop.Call(func() {
 		for _, ip := range found {
-			if len(t.huts) < 12 && !slices.ContainsFunc(t.huts, func(h hutAt) bool { return h.IP == ip }) {
-				t.huts = append(t.huts, hutAt{IP: ip})
+			if len(t.controlNodes) < 12 && !slices.ContainsFunc(t.controlNodes, func(h ControlNode) bool { return h.IP == ip }) {
+				t.controlNodes = append(t.controlNodes, ControlNode{IP: ip})
 			}
 		}
-		t.pick()
+		t.pickWatchTargets()
 	})
 }
 
-// news takes what a hut said; it runs on the desk.
-func (t *trail) news(ip string, ask watchAsk, say watchSay, d *endpoints.Delta) {
-	if len(say.Huts) > 0 && say.Slot >= t.held.Load().slot {
-		t.huts = say.Huts
-		t.placed.Store(true)
-		t.pick()
+// onWatchResponse takes what a hut said; it runs on the desk.
+func (t *FrontServer) onWatchResponse(ip string, ask WatchRequest, say WatchResponse, d *endpoints.Delta) {
+	if len(say.Huts) > 0 && say.Slot >= t.progress.Load().slot {
+		t.controlNodes = say.Huts
+		t.locatedControl.Store(true)
+		t.pickWatchTargets()
 		for _, h := range say.Huts {
-			t.n.view.post(func() { t.n.way.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
+			t.host.view.Submit(func() { t.host.way.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
 		}
 	}
 	if say.Roster != nil {
-		t.rosterAt.Store(int64(t.n.steady()))
-		if t.choice != nil {
-			t.choice.Set(say.Roster, t.n.set().NodeName)
+		t.rosterAskedAt.Store(int64(t.host.steady()))
+		if t.relays != nil {
+			t.relays.Set(say.Roster, t.host.set().NodeName)
 		}
 	}
-	if len(say.Dark) > 0 && t.opt.Hearsay {
-		t.rng.Tell(say.Dark, time.Now().Add(t.n.hearsayLasts()))
+	if len(say.Dark) > 0 && t.options.Hearsay {
+		t.endpoints.Tell(say.Dark, time.Now().Add(t.host.hearsayLasts()))
 	}
-	if len(t.picked) > 0 && t.picked[0] == ip {
-		t.heard.Store(say.Heard)
+	if len(t.watchTargets) > 0 && t.watchTargets[0] == ip {
+		t.unreachableRevision.Store(say.Heard)
 	}
 	if !say.Lone {
-		t.heardAt.Store(int64(t.n.steady()))
+		t.majorityHeardAt.Store(int64(t.host.steady()))
 	}
-	if say.Huts != nil && say.Slot >= t.held.Load().slot {
-		t.setLarders(say.Larders)
+	if say.Huts != nil && say.Slot >= t.progress.Load().slot {
+		t.setCacheNodes(say.Larders)
 	}
-	if h := t.held.Load(); say.Purge > h.purge && (h.purge >= 0 || len(say.Huts) > 0) {
-		t.pantry.Take(say.Purge, say.Floor, say.Purges)
-		t.hold(func(h *holds) { h.purge = say.Purge })
+	if h := t.progress.Load(); say.Purge > h.purge && (h.purge >= 0 || len(say.Huts) > 0) {
+		t.cacheHandler.Take(say.Purge, say.Floor, say.Purges)
+		t.updateProgress(func(h *progress) { h.purge = say.Purge })
 	}
 	if !ask.Hello {
-		t.takeRollouts(say)
+		t.onRollouts(say)
 	}
-	delete(t.bad, ip)
-	t.counts[ip] = upstream.Fronts{All: say.Fronts, Region: say.Around, Zone: say.Here}
+	delete(t.unresponsiveUntil, ip)
+	t.frontCounts[ip] = upstream.Fronts{All: say.Fronts, Region: say.Around, Zone: say.Here}
 	most := upstream.Fronts{All: 1}
-	for _, c := range t.counts {
+	for _, c := range t.frontCounts {
 		most.All, most.Region, most.Zone = max(most.All, c.All), max(most.Region, c.Region), max(most.Zone, c.Zone)
 	}
-	if t.fronts.Swap(int64(most.All)) != int64(most.All) {
-		t.ledger.SetNodes(most.All)
+	if t.frontCount.Swap(int64(most.All)) != int64(most.All) {
+		t.retryBudget.SetNodes(most.All)
 	}
-	if !t.larder {
-		t.rng.SetShare(most)
+	if !t.cacheNode {
+		t.endpoints.SetShare(most)
 	}
 	if d != nil && (t.table == nil || t.table.Stamp.Less(d.To)) {
 		from := t.table
@@ -458,7 +458,7 @@
 			t.setTable(table)
 		}
 	}
-	t.hold(func(h *holds) {
+	t.updateProgress(func(h *progress) {
 		if say.Version <= h.version {
 			h.slot = max(h.slot, say.Slot)
 		}
@@ -466,45 +466,45 @@
 }
 
 // setTable takes a newer table; it runs on the desk.
-func (t *trail) setTable(table *endpoints.Table) {
+func (t *FrontServer) setTable(table *endpoints.Table) {
 	t.table = table
-	t.hold(func(h *holds) { h.stamp = table.Stamp })
-	t.rng.SetTable(table)
-	t.board.Listed(table, t.n.steady())
-	t.setLanes()
-	t.tick()
+	t.updateProgress(func(h *progress) { h.stamp = table.Stamp })
+	t.endpoints.SetTable(table)
+	t.layouts.Listed(table, t.host.steady())
+	t.applyTrafficSplits()
+	t.advanceLayouts()
 	t.publish()
 }
 
-// hold changes what this node tells that it holds; it runs on the desk.
-func (t *trail) hold(change func(h *holds)) {
-	h := *t.held.Load()
+// updateProgress changes what this node tells that it holds; it runs on the desk.
+func (t *FrontServer) updateProgress(change func(h *progress)) {
+	h := *t.progress.Load()
 	change(&h)
-	t.held.Store(&h)
+	t.progress.Store(&h)
 }
 
-// fetch brings the newest configuration from a hut.
-func (t *trail) fetch(ip string) {
+// fetchConfiguration brings the newest configuration from a hut.
+func (t *FrontServer) fetchConfiguration(ip string) {
 	if !t.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	defer t.fetching.Store(false)
 	start := time.Now()
-	have := t.config.Load()
-	ask := versionAsk{}
+	have := t.configuration.Load()
+	ask := VersionRequest{}
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.n.call.Call(t.n.set().RopeAddr(ip), "POST", pathVersion, nil, encode("version", ask), config.Ms(t.n.set().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.host.call.Call(t.host.set().RopeAddr(ip), "POST", PathVersion, nil, Encode("version", ask), config.Ms(t.host.set().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
-	var say versionSay
-	if json.Unmarshal([]byte(rep.Header(headerVersion)), &say) != nil || say.Version <= t.held.Load().version {
+	var say VersionResponse
+	if json.Unmarshal([]byte(rep.Header(HeaderVersion)), &say) != nil || say.Version <= t.progress.Load().version {
 		return
 	}
 	// Large ones take a while to read: not on the desk.
-	c, err := t.unpackVersion(rep.Body)
+	c, err := t.unpackConfiguration(rep.Body)
 	if err == nil && say.From > 0 {
 		if have == nil || have.Version != say.From {
 			return
@@ -515,48 +515,48 @@
 		events.Log(events.MessageRefused, "from", ip, "version", say.Version, "err", err)
 		return
 	}
-	t.config.Store(c)
-	t.desk.ask(func() { t.take(say, c, time.Since(start)) })
+	t.configuration.Store(c)
+	t.loop.Call(func() { t.applyConfiguration(say, c, time.Since(start)) })
 }
 
-// unpackVersion reads a packed configuration.
-func (t *trail) unpackVersion(body []byte) (*config.Configuration, error) {
-	raw, err := unpack(body, t.n.maxMessage())
+// unpackConfiguration reads a packed configuration.
+func (t *FrontServer) unpackConfiguration(body []byte) (*config.Configuration, error) {
+	raw, err := GzipUnpack(body, t.host.maxMessage())
 	if err != nil {
 		return nil, err
 	}
 	return config.TakeConfiguration(raw)
 }
 
-// take puts decided state in its place; it runs on the desk. A node never
+// applyConfiguration puts decided state in its place; it runs on the desk. A node never
 // goes back to an older version.
-func (t *trail) take(say versionSay, c *config.Configuration, on time.Duration) {
+func (t *FrontServer) applyConfiguration(say VersionResponse, c *config.Configuration, on time.Duration) {
 	v := say.Version
-	if v <= t.board.LastBuilt {
+	if v <= t.layouts.LastBuilt {
 		return
 	}
-	defer t.hold(func(h *holds) { h.version, h.slot = v, max(h.slot, say.Slot) })
-	m := routing.Compile(c, t.def)
-	t.maps[v] = m
+	defer t.updateProgress(func(h *progress) { h.version, h.slot = v, max(h.slot, say.Slot) })
+	m := routing.Compile(c, t.defaultLimits)
+	t.routeTables[v] = m
 	age := time.Duration(say.AgeMs)*time.Millisecond + on
-	if t.board.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.n.steady()) {
+	if t.layouts.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.host.steady()) {
 		t.publish()
 	} else {
-		events.Log(events.CutNext, "version", v, "current", t.board.Current.Version)
+		events.Log(events.CutNext, "version", v, "current", t.layouts.Current.Version)
 	}
-	t.tick()
+	t.advanceLayouts()
 }
 
-// tick moves the rollout on; it runs on the desk.
-func (t *trail) tick() {
-	old := t.board.Current.Version
-	switched, ready := t.board.Tick(t.n.steady())
-	freed := t.board.TakeFreed()
+// advanceLayouts moves the rollout on; it runs on the desk.
+func (t *FrontServer) advanceLayouts() {
+	old := t.layouts.Current.Version
+	switched, ready := t.layouts.Tick(t.host.steady())
+	freed := t.layouts.TakeFreed()
 	for _, f := range freed {
 		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
 	}
 	if switched {
-		events.Log(events.CutSwitched, "from", old, "to", t.board.Current.Version, "ready", ready)
+		events.Log(events.CutSwitched, "from", old, "to", t.layouts.Current.Version, "ready", ready)
 	}
 	if switched || len(freed) > 0 {
 		t.publish()
@@ -564,62 +564,62 @@
 }
 
 // publish pins what is in force into a snapshot for the requests to come; it runs on the desk.
-func (t *trail) publish() {
-	m := t.maps[t.board.Current.Version]
+func (t *FrontServer) publish() {
+	m := t.routeTables[t.layouts.Current.Version]
 	if m == nil {
 		return
 	}
-	for v := range t.maps {
-		if v < t.board.Current.Version || v != t.board.Current.Version && (t.board.Next == nil || v != t.board.Next.Version) {
-			delete(t.maps, v)
+	for v := range t.routeTables {
+		if v < t.layouts.Current.Version || v != t.layouts.Current.Version && (t.layouts.Next == nil || v != t.layouts.Next.Version) {
+			delete(t.routeTables, v)
 		}
 	}
-	s := &frontend.Snapshot{Map: m, Holders: map[string]map[string][]string{}, Lanes: t.scout.lanes}
-	for _, shard := range t.board.Current.Shards {
-		s.Holders[shard] = t.board.Held(shard)
+	s := &frontend.Snapshot{Map: m, Holders: map[string]map[string][]string{}, Lanes: t.rollouts.splits}
+	for _, shard := range t.layouts.Current.Shards {
+		s.Holders[shard] = t.layouts.Held(shard)
 	}
 	for name, sv := range m.Services {
-		t.rng.SetLimit(name, int(sv.ConnectionLimit))
+		t.endpoints.SetLimit(name, int(sv.ConnectionLimit))
 	}
-	if t.table == nil || t.held.Load().rolled < 0 {
+	if t.table == nil || t.progress.Load().rolloutSlot < 0 {
 		return
 	}
-	t.head.Set(s)
-	if !t.n.leaving.Load() && t.ready.CompareAndSwap(false, true) {
+	t.frontend.Set(s)
+	if !t.host.leaving.Load() && t.ready.CompareAndSwap(false, true) {
 		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Searchers))
 	}
 }
 
-// open starts the clients' listener. Until the node has a configuration and
+// serveClients starts the clients' listener. Until the node has a configuration and
 // a table, requests wait at its head.
-func (t *trail) open() {
-	lis := t.n.listener(t.def.Idle)
-	lis.MaxHeader = t.n.maxMessage() / 16
+func (t *FrontServer) serveClients() {
+	lis := t.host.listener(t.defaultLimits.Idle)
+	lis.MaxHeader = t.host.maxMessage() / 16
 	lis.Gate = &t.gate
 	lis.Limits = func() (time.Duration, time.Duration) {
-		if s := t.head.Current(); s != nil {
+		if s := t.frontend.Current(); s != nil {
 			return s.Map.Limits.HeaderTimeout, s.Map.Limits.Idle
 		}
-		return t.def.HeaderTimeout, t.def.Idle
+		return t.defaultLimits.HeaderTimeout, t.defaultLimits.Idle
 	}
 	go func() {
-		ln, ok := transport.Listen(t.n.set().ListenAddresses.FrontAddress, t.n.userTimeout(), t.n.heartbeat(0.1), t.n.stop)
+		ln, ok := transport.Listen(t.host.set().ListenAddresses.FrontAddress, t.host.userTimeout(), t.host.heartbeat(0.1), t.host.stop)
 		if !ok {
 			return
 		}
-		t.ln.Store(&ln)
-		transport.Serve(ln, lis, t.head.Handle)
+		t.listener.Store(&ln)
+		transport.Serve(ln, lis, t.frontend.Handle)
 	}()
 }
 
-func (t *trail) serveReadiness() {
-	ln, ok := transport.Listen(t.n.set().ListenAddresses.ReadinessAddress, t.n.userTimeout(), t.n.heartbeat(0.1), t.n.stop)
+func (t *FrontServer) serveReadiness() {
+	ln, ok := transport.Listen(t.host.set().ListenAddresses.ReadinessAddress, t.host.userTimeout(), t.host.heartbeat(0.1), t.host.stop)
 	if !ok {
 		return
 	}
-	transport.Serve(ln, t.n.listener(t.n.heartbeat(8)), func(_ context.Context, c *app.RequestContext) {
+	transport.Serve(ln, t.host.listener(t.host.heartbeat(8)), func(_ context.Context, c *app.RequestContext) {
 		status := 503
-		if t.ready.Load() && !t.n.leaving.Load() {
+		if t.ready.Load() && !t.host.leaving.Load() {
 			status = 200
 		}
 		transport.Answer(c, status, map[string]bool{"Ready": status == 200})
@@ -627,46 +627,46 @@
 }
 
 // tickLoop ticks often while a cut waits, seldom otherwise.
-func (t *trail) tickLoop() {
+func (t *FrontServer) tickLoop() {
 	for {
-		wait := t.n.heartbeat(0.4)
-		t.desk.ask(func() {
-			t.tick()
-			if t.board.Next != nil {
-				wait = config.Ms(t.n.set().Bounds.ConfigEffectMs, 0.02)
+		wait := t.host.heartbeat(0.4)
+		t.loop.Call(func() {
+			t.advanceLayouts()
+			if t.layouts.Next != nil {
+				wait = config.Ms(t.host.set().Bounds.ConfigEffectMs, 0.02)
 			}
 		})
-		t.rng.Sweep(time.Now())
+		t.endpoints.Sweep(time.Now())
 		select {
-		case <-t.n.stop:
+		case <-t.host.stop:
 			return
 		case <-time.After(wait):
 		}
 	}
 }
 
-// leave lets the platform send its clients elsewhere, then ends what is under way.
-func (t *trail) leave(start time.Time, grace time.Duration) {
+// Drain lets the platform send its clients elsewhere, then ends what is under way.
+func (t *FrontServer) Drain(start time.Time, grace time.Duration) {
 	events.Log(events.FrontUnready, "why", "leaving")
-	t.head.Leave()
+	t.frontend.Leave()
 	time.Sleep(time.Until(start.Add(grace / 2)))
-	if ln := t.ln.Load(); ln != nil {
+	if ln := t.listener.Load(); ln != nil {
 		(*ln).Close()
 	}
 	// Connections at rest are ended unread; the others end with their answer.
 	t.gate.Shut()
 	ended := false
-	for time.Since(start) < grace*92/100 && (t.gate.Busy() > 0 || t.head.Busy() > 0) {
+	for time.Since(start) < grace*92/100 && (t.gate.Busy() > 0 || t.frontend.Busy() > 0) {
 		if !ended && time.Since(start) > grace*65/100 {
 			ended = true
-			t.head.End()
+			t.frontend.End()
 		}
 		time.Sleep(grace / 200)
 	}
 }
 
-// TrailStatus is the trail's part of the status.
-type TrailStatus struct {
+// FrontStatus is the trail's part of the status.
+type FrontStatus struct {
 	Ready     bool
 	Slot      int64
 	LastBuilt int64
@@ -690,25 +690,25 @@
 	Part      float64
 }
 
-func (t *trail) status() *TrailStatus {
-	st := &TrailStatus{Ready: t.ready.Load(), Busy: t.head.Busy(), Helped: t.head.Lent(), Slots: map[string][]string{}}
-	st.Connections = t.rng.Count()
-	st.Copies, st.CopyBytes = t.pantry.Held()
-	if t.larder {
-		st.Copies, st.CopyBytes = t.kitchen.held()
+func (t *FrontServer) Status() *FrontStatus {
+	st := &FrontStatus{Ready: t.ready.Load(), Busy: t.frontend.Busy(), Helped: t.frontend.Lent(), Slots: map[string][]string{}}
+	st.Connections = t.endpoints.Count()
+	st.Copies, st.CopyBytes = t.cacheHandler.Held()
+	if t.cacheNode {
+		st.Copies, st.CopyBytes = t.fetcher.Held()
 	}
-	st.Fetched, st.Purge = t.kitchen.count(), t.pantry.Known()
-	st.Part, _ = t.parts()
-	t.desk.ask(func() {
-		st.Slot, st.LastBuilt, st.Current, st.Fronts = t.held.Load().slot, t.board.LastBuilt, t.board.Current.Version, int(t.fronts.Load())
-		if t.board.Next != nil {
-			st.Next = t.board.Next.Version
+	st.Fetched, st.Purge = t.fetcher.Fetches(), t.cacheHandler.Known()
+	st.Part, _ = t.quotaShare()
+	t.loop.Call(func() {
+		st.Slot, st.LastBuilt, st.Current, st.Fronts = t.progress.Load().slot, t.layouts.LastBuilt, t.layouts.Current.Version, int(t.frontCount.Load())
+		if t.layouts.Next != nil {
+			st.Next = t.layouts.Next.Version
 		}
 		if t.table != nil {
 			st.Table, st.Searchers = t.table.Stamp, len(t.table.Searchers)
 		}
-		for _, s := range t.board.Current.Shards {
-			st.Slots[s] = t.board.Holders(s)
+		for _, s := range t.layouts.Current.Shards {
+			st.Slots[s] = t.layouts.Holders(s)
 		}
 	})
 	return st
--- a/internal/lodge/turns.go
+++ b/internal/lodge/turns.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// turns lets one proposal of a node run at a time. Those that wait come one
+// proposalLock lets one proposal of a node run at a time. Those that wait come one
 // after the other; a change of members comes before them.
-type turns struct {
-	mu          sync.Mutex
-	held        bool
-	first, line []chan struct{}
+type proposalLock struct {
+	mu              sync.Mutex
+	held            bool
+	urgent, waiting []chan struct{}
 }
 
 // Lock waits for its turn.
-func (t *turns) Lock() {
-	if w := t.queue(&t.line); w != nil {
+func (t *proposalLock) Lock() {
+	if w := t.enqueue(&t.waiting); w != nil {
 		<-w
 	}
 }
 
-// LockFirst waits in front of all others, at most for the time given.
-func (t *turns) LockFirst(within time.Duration) bool {
-	w := t.queue(&t.first)
+// LockUrgent waits in front of all others, at most for the time given.
+func (t *proposalLock) LockUrgent(within time.Duration) bool {
+	w := t.enqueue(&t.urgent)
 	if w == nil {
 		return true
 	}
@@ -34,15 +34,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if i := slices.Index(t.first, w); i >= 0 {
-		t.first = slices.Delete(t.first, i, i+1)
+	if i := slices.Index(t.urgent, w); i >= 0 {
+		t.urgent = slices.Delete(t.urgent, i, i+1)
 		return false
 	}
 	return true
 }
 
 // TryLock takes the turn if nobody has it.
-func (t *turns) TryLock() bool {
+func (t *proposalLock) TryLock() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.held {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// queue returns nil when the turn is had at once.
-func (t *turns) queue(l *[]chan struct{}) chan struct{} {
+// enqueue returns nil when the turn is had at once.
+func (t *proposalLock) enqueue(l *[]chan struct{}) chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.held {
@@ -66,10 +66,10 @@
 }
 
 // Unlock passes the turn on.
-func (t *turns) Unlock() {
+func (t *proposalLock) Unlock() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range []*[]chan struct{}{&t.first, &t.line} {
+	for _, l := range []*[]chan struct{}{&t.urgent, &t.waiting} {
 		if len(*l) > 0 {
 			close((*l)[0])
 			*l = (*l)[1:]
@@ -79,10 +79,10 @@
 	t.held = false
 }
 
-// Yield lets a change of members through, between two rounds.
-func (t *turns) Yield() {
+// YieldToUrgent lets a change of members through, between two rounds.
+func (t *proposalLock) YieldToUrgent() {
 	t.mu.Lock()
-	waits := len(t.first) > 0
+	waits := len(t.urgent) > 0
 	t.mu.Unlock()
 	if waits {
 		t.Unlock()
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -12,46 +12,46 @@
 
 // What huts tell the fronts that watch them.
 
-type frontSeen struct {
-	at time.Duration
-	// until is when it must have been heard again.
-	until time.Duration
-	slot  int64
-	ip    string
-	zone  string
+type frontState struct {
+	heardAt time.Duration
+	// overdueAt is when it must have been heard again.
+	overdueAt time.Duration
+	slot      int64
+	ip        string
+	zone      string
 	// ready: other fronts may ask it.
 	ready bool
-	// out is how many searchers have fallen silent for it.
-	out int
-	// first: it watches this hut before others. larder: it serves no clients.
-	first, larder bool
-	// rolled is the slot up to which it knows the rollouts.
-	rolled int64
+	// silentEndpoints is how many searchers have fallen silent for it.
+	silentEndpoints int
+	// primary: it watches this hut before others. larder: it serves no clients.
+	primary, cacheNode bool
+	// rolloutSlot is the slot up to which it knows the rollouts.
+	rolloutSlot int64
 }
 
 // knownFront is a front that this hut or another heard at a time.
 type knownFront struct {
-	at   time.Duration
-	zone string
+	heardAt time.Duration
+	zone    string
 }
 
-type rollSeen struct {
-	roll
-	asking bool
+type peerRoster struct {
+	FrontRoster
+	fetching bool
 }
 
 // handleWatch waits for news that the asker lacks, at most for a heartbeat.
-func (h *hut) handleWatch(m watchAsk) watchSay {
-	hold := max(h.n.heartbeat(0.2), min(h.n.longHold(), time.Duration(m.HoldMs)*time.Millisecond))
+func (h *ControlServer) handleWatch(m WatchRequest) WatchResponse {
+	hold := max(h.host.heartbeat(0.2), min(h.host.longHold(), time.Duration(m.HoldMs)*time.Millisecond))
 	until := time.NewTimer(hold)
 	defer until.Stop()
 	for late := false; ; {
-		var say watchSay
+		var say WatchResponse
 		var changed chan struct{}
 		news := false
-		h.desk.ask(func() {
-			h.seen(m, h.n.steady()+hold)
-			say, news = h.say(m)
+		h.loop.Call(func() {
+			h.onWatch(m, h.host.steady()+hold)
+			say, news = h.watchResponse(m)
 			changed = h.changed
 		})
 		if m.Hello {
@@ -60,40 +60,40 @@
 		if news && m.Brief && !late {
 			// Whoever is watched first brings it sooner; what follows goes along.
 			select {
-			case <-time.After(h.n.heartbeat(0.1)):
-			case <-h.n.stop:
+			case <-time.After(h.host.heartbeat(0.1)):
+			case <-h.host.stop:
 			}
 			late = true
 			continue
 		}
-		if news || late || h.n.leaving.Load() {
+		if news || late || h.host.leaving.Load() {
 			return say
 		}
 		select {
 		case <-changed:
 		case <-until.C:
 			late = true
-		case <-h.n.stop:
+		case <-h.host.stop:
 			return say
 		}
 	}
 }
 
-// seen notes a node that watches; it runs on the desk.
-func (h *hut) seen(m watchAsk, until time.Duration) {
-	h.fronts[m.Name] = frontSeen{h.n.steady(), until + h.n.heartbeat(1), m.Slot, m.IP, m.Zone, m.Ready, m.Out, m.First, m.Larder, m.Rolled}
+// onWatch notes a node that watches; it runs on the desk.
+func (h *ControlServer) onWatch(m WatchRequest, until time.Duration) {
+	h.fronts[m.Name] = frontState{h.host.steady(), until + h.host.heartbeat(1), m.Slot, m.IP, m.Zone, m.Ready, m.Out, m.First, m.Larder, m.Rolled}
 }
 
-// say tells a watcher what it lacks; it runs on the desk.
-func (h *hut) say(m watchAsk) (say watchSay, news bool) {
-	now := h.n.steady()
-	s := h.acc.State
-	say = watchSay{Zone: h.n.set().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.PurgeFloor()}
-	say.Around, say.Here = h.around(m.Zone)
-	say.Lone = h.lone(now)
+// watchResponse tells a watcher what it lacks; it runs on the desk.
+func (h *ControlServer) watchResponse(m WatchRequest) (say WatchResponse, news bool) {
+	now := h.host.steady()
+	s := h.acceptor.State
+	say = WatchResponse{Zone: h.host.set().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.PurgeFloor()}
+	say.Around, say.Here = h.frontsAround(m.Zone)
+	say.Lone = h.lacksMajority(now)
 	if m.Roster || m.Hello || s.Slot > m.Slot {
 		for _, v := range s.Voters {
-			say.Huts = append(say.Huts, hutAt{v.IP, h.zoneOf(v.IP)})
+			say.Huts = append(say.Huts, ControlNode{v.IP, h.zoneOf(v.IP)})
 		}
 		say.Larders = s.Larders
 	}
@@ -107,8 +107,8 @@
 	if m.Purge >= 0 {
 		say.Purges = s.PurgesAfter(m.Purge)
 	}
-	if say.Heard = h.gossip.seq; m.First && !m.Hello && m.Heard != say.Heard {
-		say.Dark = h.gossip.tell(now, h.n.heartbeat(2))
+	if say.Heard = h.unreachable.revision; m.First && !m.Hello && m.Heard != say.Heard {
+		say.Dark = h.unreachable.current(now, h.host.heartbeat(2))
 		news = news || len(say.Dark) > 0
 	}
 	if h.table != nil {
@@ -116,59 +116,59 @@
 		if m.Stamp.Less(h.table.Stamp) {
 			news = true
 			if !m.Brief && !m.Hello {
-				say.Delta = h.delta(m.Stamp)
+				say.Delta = h.tableDelta(m.Stamp)
 			}
 		}
 	}
 	return say, news || s.Slot > m.Slot && s.Version > 0
 }
 
-func (h *hut) zoneOf(ip string) string {
-	if ip == h.n.set().IpAddress {
-		return h.n.set().Zone
+func (h *ControlServer) zoneOf(ip string) string {
+	if ip == h.host.set().IpAddress {
+		return h.host.set().Zone
 	}
-	return h.others[ip].zone
+	return h.peers[ip].zone
 }
 
-// roll lists the fronts that watch this hut first; it runs on the desk.
-func (h *hut) roll() roll {
-	now := h.n.steady()
-	r := roll{}
+// frontRoster lists the fronts that watch this hut first; it runs on the desk.
+func (h *ControlServer) frontRoster() FrontRoster {
+	now := h.host.steady()
+	r := FrontRoster{}
 	for name, f := range h.fronts {
-		if f.first && now < f.until {
-			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, Out: !f.ready, Keeps: f.larder})
+		if f.primary && now < f.overdueAt {
+			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, Out: !f.ready, Keeps: f.cacheNode})
 		}
 	}
 	slices.SortFunc(r.Fronts, func(a, b relay.Front) int { return strings.Compare(a.Name, b.Name) })
-	if !slices.Equal(r.Fronts, h.rolled) {
-		h.rolled = slices.Clone(r.Fronts)
-		h.rollN++
+	if !slices.Equal(r.Fronts, h.lastRoster) {
+		h.lastRoster = slices.Clone(r.Fronts)
+		h.rosterRevision++
 	}
 	// Another life of this hut must not be taken for this one.
-	r.Roll = h.born + h.rollN
+	r.Roll = h.bootID + h.rosterRevision
 	return r
 }
 
-// askRoll brings the roll of another hut.
-func (h *hut) askRoll(ip string) {
-	var r roll
-	err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathRoll, struct{}{}, &r, h.n.heartbeat(0.8))
-	h.desk.post(func() {
+// fetchRoster brings the roll of another hut.
+func (h *ControlServer) fetchRoster(ip string) {
+	var r FrontRoster
+	err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathFrontRoster, struct{}{}, &r, h.host.heartbeat(0.8))
+	h.loop.Submit(func() {
 		if err != nil {
-			r = h.rolls[ip].roll
+			r = h.peerRosters[ip].FrontRoster
 		}
-		h.rolls[ip] = rollSeen{roll: r}
+		h.peerRosters[ip] = peerRoster{FrontRoster: r}
 	})
 }
 
-// rosterMost is how many fronts of a zone one front is told of.
-const rosterMost = 4
+// maxRosterPerZone is how many fronts of a zone one front is told of.
+const maxRosterPerZone = 4
 
 // roster lists some fronts of every other zone that are ready; it runs on the desk.
-func (h *hut) roster(now time.Duration, but string) []relay.Front {
-	all := h.roll().Fronts
-	for ip, r := range h.rolls {
-		if now-h.others[ip].at < config.Ms(h.n.set().Bounds.InTouchMs, 1) {
+func (h *ControlServer) roster(now time.Duration, but string) []relay.Front {
+	all := h.frontRoster().Fronts
+	for ip, r := range h.peerRosters {
+		if now-h.peers[ip].heardAt < config.Ms(h.host.set().Bounds.InTouchMs, 1) {
 			all = append(all, r.Fronts...)
 		}
 	}
@@ -177,7 +177,7 @@
 	out := []relay.Front{}
 	for _, i := range rand.Perm(len(all)) {
 		f := all[i]
-		if !f.Out && !f.Keeps && f.Zone != but && !seen[f.Name] && count[f.Zone] < rosterMost {
+		if !f.Out && !f.Keeps && f.Zone != but && !seen[f.Name] && count[f.Zone] < maxRosterPerZone {
 			count[f.Zone]++
 			seen[f.Name] = true
 			out = append(out, f)
@@ -186,69 +186,69 @@
 	return out
 }
 
-// silence tells whether fronts heard lately miss searchers; it runs on the desk.
-func (h *hut) silence() bool {
-	now := h.n.steady()
+// frontsMissEndpoints tells whether fronts heard lately miss searchers; it runs on the desk.
+func (h *ControlServer) frontsMissEndpoints() bool {
+	now := h.host.steady()
 	for _, f := range h.fronts {
-		if f.out > 0 && now < f.until {
+		if f.silentEndpoints > 0 && now < f.overdueAt {
 			return true
 		}
 	}
 	return false
 }
 
-// few fronts are counted anew for each that asks.
-const few = 32
+// alwaysRecount fronts are counted anew for each that asks.
+const alwaysRecount = 32
 
 // countFronts counts the fronts that this hut or another heard within the
 // window of the retry budget. A hut that just started goes by what it counted
 // in its life before: after a loss of everything the fronts must not think
 // that each of them is alone. It runs on the desk.
-func (h *hut) countFronts(now time.Duration) int {
-	window := config.Sec(h.n.set().Bounds.RetryWindowS, 1)
-	if h.countedAt > 0 && now-h.countedAt < h.n.heartbeat(0.1) && len(h.fronts) > few {
+func (h *ControlServer) countFronts(now time.Duration) int {
+	window := config.Sec(h.host.set().Bounds.RetryWindowS, 1)
+	if h.frontsCountedAt > 0 && now-h.frontsCountedAt < h.host.heartbeat(0.1) && len(h.fronts) > alwaysRecount {
 		// Many ask at once, and each would count them all.
-		return h.counted
+		return h.frontCount
 	}
-	h.countedAt = now
+	h.frontsCountedAt = now
 	for name, f := range h.fronts {
-		if !f.larder {
-			h.known[name] = knownFront{f.at, f.zone}
+		if !f.cacheNode {
+			h.knownFronts[name] = knownFront{f.heardAt, f.zone}
 		}
-		if now-f.at > window {
+		if now-f.heardAt > window {
 			delete(h.fronts, name)
 		}
 	}
-	for ip, r := range h.rolls {
+	for ip, r := range h.peerRosters {
 		for _, f := range r.Fronts {
 			if f.Keeps {
 				continue
 			}
-			if at := h.others[ip].at; at > h.known[f.Name].at {
-				h.known[f.Name] = knownFront{at, f.Zone}
+			if at := h.peers[ip].heardAt; at > h.knownFronts[f.Name].heardAt {
+				h.knownFronts[f.Name] = knownFront{at, f.Zone}
 			}
 		}
 	}
-	for name, k := range h.known {
-		if now-k.at > window {
-			delete(h.known, name)
+	for name, k := range h.knownFronts {
+		if now-k.heardAt > window {
+			delete(h.knownFronts, name)
 		}
 	}
-	n := len(h.known)
+	n := len(h.knownFronts)
 	if now < window {
-		n = max(n, h.before)
+		n = max(n, h.inheritedFrontCount)
 	}
-	if n != h.counted {
-		h.counted, h.frontsKept = n, n
-		h.record(recFronts, n, nil)
+	if n != h.frontCount {
+		h.frontCount, h.persistedFrontCount = n, n
+		h.writeRecord(recordFronts, n, nil)
 	}
 	return n
 }
 
-// around counts the known fronts in a zone and in its region; it runs on the desk.
-func (h *hut) around(zone string) (region, here int) {
-	zones := h.n.set().Zones
-	for _, k := range h.known {
+// frontsAround counts the known fronts in a zone and in its region; it runs on the desk.
+func (h *ControlServer) frontsAround(zone string) (region, here int) {
+	zones := h.host.set().Zones
+	for _, k := range h.knownFronts {
 		if zones[k.zone] == zones[zone] {
 			region++
 		}
@@ -259,15 +259,15 @@
 	return region, here
 }
 
-// held waits until every front that was heard lately holds slot, at most for the time given.
-func (h *hut) held(slot int64, within time.Duration) {
+// waitFrontsHold waits until every front that was heard lately holds slot, at most for the time given.
+func (h *ControlServer) waitFrontsHold(slot int64, within time.Duration) {
 	end := time.Now().Add(within)
 	for time.Now().Before(end) {
 		missing := false
-		h.desk.ask(func() {
-			now := h.n.steady()
+		h.loop.Call(func() {
+			now := h.host.steady()
 			for _, f := range h.fronts {
-				if f.slot < slot && now < f.until {
+				if f.slot < slot && now < f.overdueAt {
 					missing = true
 				}
 			}
@@ -281,28 +281,28 @@
 
 // packedVersion is an answer that is the same for all who hold one version.
 type packedVersion struct {
-	say  versionSay
-	body []byte
+	response VersionResponse
+	body     []byte
 }
 
-// version gives the newest configuration, or the difference to the one held; it runs on the desk.
-func (h *hut) version(m versionAsk) (versionSay, []byte) {
-	p, ok := h.packed[m.Version]
+// versionResponse gives the newest configuration, or the difference to the one held; it runs on the desk.
+func (h *ControlServer) versionResponse(m VersionRequest) (VersionResponse, []byte) {
+	p, ok := h.packedVersions[m.Version]
 	if !ok {
-		raw := []byte(h.acc.State.Body)
-		for _, b := range h.bodies {
+		raw := []byte(h.acceptor.State.Body)
+		for _, b := range h.pastBodies {
 			if b.Version != m.Version {
 				continue
 			}
 			if d, ok := config.Between([]byte(b.Body), raw); ok {
-				p.say.From, p.say.Gone, raw = m.Version, d.Gone, d.Body
+				p.response.From, p.response.Gone, raw = m.Version, d.Gone, d.Body
 			}
 		}
-		p.body = pack(raw)
-		if len(h.packed) < 2*bodiesKept {
-			h.packed[m.Version] = p
+		p.body = GzipPack(raw)
+		if len(h.packedVersions) < 2*maxPastBodies {
+			h.packedVersions[m.Version] = p
 		}
 	}
-	p.say.Slot, p.say.Version, p.say.AgeMs = h.acc.State.Slot, h.acc.State.Version, (h.n.steady() - h.learned).Milliseconds()
-	return p.say, p.body
+	p.response.Slot, p.response.Version, p.response.AgeMs = h.acceptor.State.Slot, h.acceptor.State.Version, (h.host.steady() - h.versionLearnedAt).Milliseconds()
+	return p.response, p.body
 }
