--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
+	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
@@ -27,7 +28,7 @@
 type ControlServer struct {
 	host  *Node
 	store *storage.Cellar
-	loop  *Loop
+	loop  *commandloop.Loop
 
 	// Owned by the desk.
 	acceptor         consensus.Keeper
@@ -115,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &ControlServer{host: n, store: cel, loop: NewLoop(), handoff: handoff.New(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
+	h := &ControlServer{host: n, store: cel, loop: commandloop.New(), handoff: handoff.New(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
 		leaseRequests: map[string]bool{}, grantorTables: map[string]grantorTable{}, leaseAcquired: make(chan struct{}, 1), leaseReleased: make(chan struct{}, 1)}
 	leases := map[string]lease.Record{}
 	var id string
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/cloudwego/hertz/pkg/app"
+	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/peersampling"
@@ -29,7 +30,7 @@
 	leaving  atomic.Bool
 	sockets  []net.Listener
 
-	view *Loop
+	view *commandloop.Loop
 	way  *peersampling.View
 	// Owned by the view's desk as well.
 	vigil   vigil
@@ -85,7 +86,7 @@
 	n := &Node{path: path, born: time.Now(), stop: make(chan struct{}), options: options}
 	n.settings.Store(s)
 	n.call = transport.NewClient(16, config.Ms(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
-	n.view = NewLoop()
+	n.view = commandloop.New()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
 	n.way = peersampling.New(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -13,6 +13,7 @@
 
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/panjf2000/ants/v2"
+	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/endpoints"
 	"swiftswitch/internal/events"
@@ -100,7 +101,7 @@
 type FrontServer struct {
 	host    *Node
 	options Options
-	loop    *Loop
+	loop    *commandloop.Loop
 
 	endpoints   *upstream.Range
 	retryBudget *ratelimit.Ledger
@@ -165,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &FrontServer{host: n, options: opt, loop: NewLoop(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
+	t := &FrontServer{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
 	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Ms(b.InTouchMs, 1), Idle: config.Ms(b.InTouchMs, 3)}
 	t.endpoints = upstream.New(upstream.Options{
 		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Ms(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
