--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -113,11 +113,11 @@
 		Distance: func(z string) int { return min(len(z), 2) }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 20,
 		KeepIdle: time.Minute, FailsOut: 3, OutFor: time.Second, Many: 5, FarPenalty: 9, Forget: time.Second,
 	})
-	var list []endpoints.Searcher
+	var list []endpoints.Endpoint
 	for i, a := range addrs {
-		list = append(list, endpoints.Searcher{ID: fmt.Sprint("i", i), Service: "s", Addr: a, Zone: zone(i), Slots: 4})
+		list = append(list, endpoints.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Addr: a, Zone: zone(i), Slots: 4})
 	}
-	table, _ := endpoints.Next(nil, list, endpoints.Stamp{Epoch: 1})
+	table, _ := endpoints.NextTable(nil, list, endpoints.Stamp{Epoch: 1})
 	rng.SetTable(table)
 	born := time.Now()
 	guide := &scatter.Guide{Range: rng, Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5,
@@ -133,7 +133,7 @@
 		t.Fatal("no listener")
 	}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
-	srv := transport.Serve(ln, transport.Listener{MaxHeader: 1 << 14, MaxBody: 1 << 22, UserTimeout: time.Second, Limits: limits}, h.Handle)
+	srv := transport.Serve(ln, transport.ServerOptions{MaxHeaderBytes: 1 << 14, MaxBodyBytes: 1 << 22, TCPUserTimeout: time.Second, Timeouts: limits}, h.Handle)
 	t.Cleanup(func() { srv.Close(); ln.Close(); pool.Release() })
 	return ln.Addr().String(), h
 }
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -12,7 +12,7 @@
 // backOff backs off for a random part of the time for an acknowledgement.
 func (h *ControlServer) backOff(try int) {
 	most := 0.008 * float64(min(try+1, 6))
-	time.Sleep(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
+	time.Sleep(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
 }
 
 // propose runs one ballot on the slot after base, the state that own was made
@@ -46,7 +46,7 @@
 		if v := m.Value; v != nil && v.Body != "" {
 			packed, err := PackDelta(base.Body, v.Body)
 			if err != nil {
-				events.Log(events.InvariantBroken, "pack", err)
+				events.Log(events.InvariantViolated, "pack", err)
 				panic(err)
 			}
 			m.Value, m.Packed = withoutBody(v, packed), packed
@@ -63,7 +63,7 @@
 				if v.IP == h.host.set().IpAddress {
 					say, x.err = h.handleConsensus(m)
 				} else {
-					x.err = h.host.call.Ask(h.host.set().RopeAddr(v.IP), PathConsensus, m, &say, config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathConsensus, m, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
 					x.say, x.err = h.unpackResponse(base, say)
@@ -93,7 +93,7 @@
 		return true
 	}
 	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.Higher.N) })
-	events.Log(events.ProposalLost, "slot", base.Slot+1, "ballot", b.N)
+	events.Log(events.ProposalPreempted, "slot", base.Slot+1, "ballot", b.N)
 	return false
 }
 
@@ -114,7 +114,7 @@
 		if now != (consensus.Ballot{}) && now == seen && !h.isolated() && h.proposalLock.TryLock() {
 			done := h.propose(s, nil)
 			h.proposalLock.Unlock()
-			events.Log(events.Finished, "slot", s.Slot+1, "done", done)
+			events.Log(events.SlotRecovered, "slot", s.Slot+1, "done", done)
 		}
 		seen = now
 	}
@@ -127,13 +127,13 @@
 	for _, ip := range to {
 		go func() {
 			var say LearnResponse
-			addr := h.host.set().RopeAddr(ip)
-			err := h.host.call.Ask(addr, PathLearn, LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.heartbeat(1))
+			addr := h.host.set().InternalAddress(ip)
+			err := h.host.call.CallJSON(addr, PathLearn, LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.heartbeat(1))
 			if err == nil && say.Slot < s.Slot {
 				say.Slot = h.sendState(ip, say.Slot, h.host.heartbeat(1))
 			}
 			if err == nil && say.Slot >= 0 {
-				h.loop.Submit(func() { h.handoff.Confirm(ip, say.Slot) })
+				h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, say.Slot) })
 			}
 			if err != nil || say.Slot < s.Slot {
 				h.resendState(ip, s)
@@ -162,7 +162,7 @@
 				var say PeekResponse
 				if v.IP == h.host.set().IpAddress {
 					h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
-				} else if h.host.call.Ask(h.host.set().RopeAddr(v.IP), PathPeek, struct{}{}, &say, config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.2)) != nil {
+				} else if h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathPeek, struct{}{}, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
@@ -182,7 +182,7 @@
 		if known >= len(s.Voters)/2+1 && known > 0 {
 			// Whatever froze this node since it asked, the answer rests on a
 			// majority's word that is no older than this.
-			if !begun && !ahead && h.host.steady()-began < config.Ms(h.host.set().Bounds.AcknowledgeMs, maxReadQuorumAge) {
+			if !begun && !ahead && h.host.steady()-began < config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, maxReadQuorumAge) {
 				return s, true
 			}
 			h.propose(s, nil)
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -88,7 +88,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.5)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
@@ -137,7 +137,7 @@
 		}
 		packed, err := PackDelta(base, n.Body)
 		if err != nil {
-			events.Log(events.InvariantBroken, "pack", err)
+			events.Log(events.InvariantViolated, "pack", err)
 			panic(err)
 		}
 		n.Body, n.Packed = "", packed
@@ -185,7 +185,7 @@
 		return h.pastBodies[at].Body, true
 	}, h.host.maxMessage())
 	if err != nil {
-		events.Log(events.MessageRefused, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
+		events.Log(events.MessageRejected, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
 		return false
 	}
 	s, ok := h.acceptor.State.Follow(whole)
@@ -213,7 +213,7 @@
 			h.learn(h.acceptor.State.Apply(*h.acceptor.Value), "accepted")
 		}
 	})
-	transport.Answer(c, 200, LearnResponse{h.waitDurable()})
+	transport.WriteJSON(c, 200, LearnResponse{h.waitDurable()})
 }
 
 // sendState brings another hut up to what this one knows, and gives the slot up
@@ -231,11 +231,11 @@
 			m.News = h.stateDelta(from)
 		})
 		var say LearnResponse
-		if h.host.call.Ask(h.host.set().RopeAddr(ip), PathLearn, m, &say, time.Until(until)) != nil {
+		if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
 		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
-			events.Log(events.HandedOver, "to", ip, "slot", say.Slot)
+			events.Log(events.HintsDelivered, "to", ip, "slot", say.Slot)
 			return say.Slot
 		}
 	}
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -21,8 +21,8 @@
 
 // heartbeat is this node's sign of life; it runs on the desk.
 func (h *ControlServer) heartbeat() Heartbeat {
-	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.set().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.StateKept(), Epoch: h.pollLease.Epoch, Holder: h.pollLease.Holder, Zone: h.host.set().Zone, Leaving: h.host.leaving.Load()}
-	b.Unfit = !h.pollLease.Fit(h.host.steady())
+	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.set().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.StateKept(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.set().Zone, Leaving: h.host.leaving.Load()}
+	b.Unfit = !h.pollLease.Eligible(h.host.steady())
 	b.Fronts = h.frontCount
 	b.Roll = h.frontRoster().Roll
 	b.Spent = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.steady()).Spent
@@ -36,10 +36,10 @@
 func (h *ControlServer) onHeartbeat(b Heartbeat) {
 	now := h.host.steady()
 	h.peers[b.IP] = peerState{b.ID, now, b.Leaving, b.Zone, b.Slot}
-	h.detector.Hear(b.ID, now)
+	h.detector.OnHeartbeat(b.ID, now)
 	h.onFrontCount(b.Fronts, now)
-	h.pollLease.Hear(b.ID, !b.Leaving && !b.Unfit, now)
-	h.pollLease.See(b.Epoch, b.Holder)
+	h.pollLease.OnHeartbeat(b.ID, !b.Leaving && !b.Unfit, now)
+	h.pollLease.ObserveEpoch(b.Epoch, b.Holder)
 	for order, ms := range b.Spent {
 		if h.rolloutRunning(order) {
 			h.rollouts.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
@@ -50,12 +50,12 @@
 		h.peerRosters[b.IP] = r
 		go h.fetchRoster(b.IP)
 	}
-	h.handoff.Confirm(b.IP, b.Kept)
-	if b.Slot < h.acceptor.State.Slot && h.handoff.Owed(b.IP, h.acceptor.State.Slot) {
-		h.handoff.Start(b.IP)
+	h.handoff.OnAcknowledged(b.IP, b.Kept)
+	if b.Slot < h.acceptor.State.Slot && h.handoff.NeedsHandoff(b.IP, h.acceptor.State.Slot) {
+		h.handoff.Begin(b.IP)
 		go h.handOff(b.IP, b.Slot)
 	}
-	if t := h.table; t != nil && b.Stamp.Less(t.Stamp) {
+	if t := h.table; t != nil && b.Stamp.Before(t.Stamp) {
 		h.sendTable(b.IP, b.Stamp)
 	}
 }
@@ -63,7 +63,7 @@
 // handOff gives a node what it missed.
 func (h *ControlServer) handOff(ip string, slot int64) {
 	held := h.sendState(ip, slot, h.host.heartbeat(1))
-	h.loop.Submit(func() { h.handoff.End(ip, held) })
+	h.loop.Submit(func() { h.handoff.Finish(ip, held) })
 }
 
 // peerIPs lists the other huts to beat to; it runs on the desk.
@@ -80,7 +80,7 @@
 	}
 	now := h.host.steady()
 	for ip, o := range h.peers {
-		if now-o.heardAt < config.Ms(h.host.set().Bounds.InTouchMs, 1) {
+		if now-o.heardAt < config.Milliseconds(h.host.set().Bounds.InTouchMs, 1) {
 			add(ip)
 		} else if !slices.Contains(out, ip) {
 			delete(h.peers, ip)
@@ -106,7 +106,7 @@
 func (h *ControlServer) sendHeartbeats() {
 	var out []string
 	var b Heartbeat
-	var bid lease.Bid
+	var bid lease.Request
 	var sent time.Duration
 	known := 0
 	h.loop.Call(func() {
@@ -130,7 +130,7 @@
 	for _, ip := range out {
 		go func() {
 			var say Heartbeat
-			if err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathHeartbeat, b, &say, h.host.heartbeat(0.8)); err == nil {
+			if err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathHeartbeat, b, &say, h.host.heartbeat(0.8)); err == nil {
 				h.loop.Submit(func() {
 					h.onHeartbeat(say)
 					h.onRenewals(bid, say, sent)
@@ -147,7 +147,7 @@
 	switch {
 	case b.Renews != nil && h.acceptor.State.Votes(o.id):
 		return true
-	case o.id == h.pollLease.Holder && h.acceptor.State.Votes(h.acceptor.ID):
+	case o.id == h.pollLease.ObservedHolder && h.acceptor.State.Votes(h.acceptor.ID):
 		return false
 	}
 	return b.IP <= ip
@@ -158,7 +158,7 @@
 func (h *ControlServer) lacksMajority(now time.Duration) bool {
 	heard := 0
 	for _, v := range h.acceptor.State.Voters {
-		if v.ID == h.acceptor.ID || h.pollLease.Silent(v.ID, now) < h.host.heartbeat(2) {
+		if v.ID == h.acceptor.ID || h.pollLease.SilentFor(v.ID, now) < h.host.heartbeat(2) {
 			heard++
 		}
 	}
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -65,7 +65,7 @@
 		return 0, false
 	}
 	now := t.host.steady()
-	if now-time.Duration(t.majorityHeardAt.Load()) > config.Sec(t.host.set().Bounds.CatchUpS, MaxSilenceBeforePause) {
+	if now-time.Duration(t.majorityHeardAt.Load()) > config.Seconds(t.host.set().Bounds.CatchUpS, MaxSilenceBeforePause) {
 		return 0, false
 	}
 	if t.cacheNode {
@@ -124,7 +124,7 @@
 func (t *FrontServer) fetchFrom(to consensus.Larder, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.host.steady()
-	rep, err := t.host.call.Call(t.host.set().RopeAddr(to.IP), "POST", PathCacheFetch, nil, Encode("larder", a), min(left, wait+max(w.Aim/2, t.host.heartbeat(0.2))))
+	rep, err := t.host.call.Do(t.host.set().InternalAddress(to.IP), "POST", PathCacheFetch, nil, Encode("larder", a), min(left, wait+max(w.Aim/2, t.host.heartbeat(0.2))))
 	if err != nil {
 		return frontend.Brought{}, err
 	}
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -61,9 +61,9 @@
 func (n *Node) deaf() time.Duration {
 	b := n.set().Bounds
 	if b.RollbackMs > 0 {
-		return config.Ms(b.RollbackMs, 0.4)
+		return config.Milliseconds(b.RollbackMs, 0.4)
 	}
-	return config.Ms(b.InTouchMs, 0.4)
+	return config.Milliseconds(b.InTouchMs, 0.4)
 }
 
 // exposure is what the settings allow a bad version.
@@ -230,7 +230,7 @@
 				to = t.watchTargets[0]
 			}
 		})
-		if to == "" || t.host.call.Ask(t.host.set().RopeAddr(to), PathRolloutReport, m, nil, t.host.heartbeat(0.5)) != nil {
+		if to == "" || t.host.call.CallJSON(t.host.set().InternalAddress(to), PathRolloutReport, m, nil, t.host.heartbeat(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
 				t.rollouts.recorder.Note(e.Cell, e.Sum)
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -96,14 +96,16 @@
 		h.loop.Submit(func() {
 			h.reportScheduled = false
 			h.unreachable.revision++
-			events.Log(events.HearsayTold, "searchers", len(h.unreachable.unreachableUntil))
+			events.Log(events.UnreachableReported, "searchers", len(h.unreachable.unreachableUntil))
 			h.notifyWatchers()
 		})
 	})
 }
 
 // hearsayLasts is how long hearsay keeps requests away from a searcher.
-func (n *Node) hearsayLasts() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) hearsayLasts() time.Duration {
+	return config.Milliseconds(n.set().Bounds.InTouchMs, 0.5)
+}
 
 // reportUnreachableLoop tells the hut watched first of searchers that did not answer.
 func (t *FrontServer) reportUnreachableLoop() {
@@ -125,7 +127,7 @@
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.host.call.Ask(t.host.set().RopeAddr(to), PathUnreachable, UnreachableReport{t.host.set().NodeName, dark}, nil, t.host.heartbeat(0.5))
+		_ = t.host.call.CallJSON(t.host.set().InternalAddress(to), PathUnreachable, UnreachableReport{t.host.set().NodeName, dark}, nil, t.host.heartbeat(0.5))
 		time.Sleep(t.host.heartbeat(0.2))
 	}
 }
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -27,7 +27,7 @@
 // ControlServer is the part of a node with a disk. Its tables belong to one desk.
 type ControlServer struct {
 	host  *Node
-	store *storage.Cellar
+	store *storage.Store
 	loop  *commandloop.Loop
 
 	// Owned by the desk.
@@ -52,7 +52,7 @@
 	tableDeltas map[endpoints.Stamp][]byte
 	// voter grants leases on duties; duty is this node's part in the one there is.
 	voter     *lease.Voter
-	pollLease *lease.Duty
+	pollLease *lease.Candidate
 	// actingEpoch is the epoch under which this node has the duty, 0: it has not;
 	// unfit: it could not have it.
 	actingEpoch int64
@@ -62,8 +62,8 @@
 	grantorTables map[string]grantorTable
 	// leaseAcquired and released wake the duty's controllers.
 	leaseAcquired, leaseReleased chan struct{}
-	handoff                      *handoff.Depot
-	detector                     *membership.Watch
+	handoff                      *handoff.Tracker
+	detector                     *membership.FailureDetector
 	fronts                       map[string]frontState
 	// frontCount is how many fronts there are, before what an earlier life counted.
 	frontCount, inheritedFrontCount int
@@ -104,19 +104,19 @@
 
 func NewControlServer(n *Node) (*ControlServer, error) {
 	s := n.set()
-	slow, again := config.Ms(s.Bounds.AcknowledgeMs, 0.1), config.Ms(s.Bounds.AcknowledgeMs, 0.04)
+	slow, again := config.Milliseconds(s.Bounds.AcknowledgeMs, 0.1), config.Milliseconds(s.Bounds.AcknowledgeMs, 0.04)
 	cel, err := storage.Open(s.DataDirectory, slow, again)
-	until := time.Now().Add(config.Ms(s.Bounds.AcknowledgeMs, 2))
+	until := time.Now().Add(config.Milliseconds(s.Bounds.AcknowledgeMs, 2))
 	for err != nil && time.Now().Before(until) {
 		// A disk in trouble often comes back; ending and starting anew would be no better.
-		events.Log(events.DiskTrouble, "err", err)
+		events.Log(events.DiskDegraded, "err", err)
 		time.Sleep(again)
 		cel, err = storage.Open(s.DataDirectory, slow, again)
 	}
 	if err != nil {
 		return nil, err
 	}
-	h := &ControlServer{host: n, store: cel, loop: commandloop.New(), handoff: handoff.New(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
+	h := &ControlServer{host: n, store: cel, loop: commandloop.New(), handoff: handoff.NewTracker(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
 		leaseRequests: map[string]bool{}, grantorTables: map[string]grantorTable{}, leaseAcquired: make(chan struct{}, 1), leaseReleased: make(chan struct{}, 1)}
 	leases := map[string]lease.Record{}
 	var id string
@@ -133,15 +133,15 @@
 	h.incarnation++
 	records := map[string][]byte{recordIncarnation: Encode(recordIncarnation, h.incarnation)}
 	if id == "" {
-		if s.FirstStart && !cel.SetAside() {
+		if s.FirstStart && !cel.Quarantined() {
 			ips := s.SeedIPs()
 			slices.Sort(ips)
 			id, st = consensus.GenesisID(s.IpAddress), consensus.Genesis(ips)
-			events.Log(events.GenesisVoters, "voters", strings.Join(ips, ","))
+			events.Log(events.ClusterBootstrapped, "voters", strings.Join(ips, ","))
 		} else {
 			// What was promised under an identity in a store that was set aside may be forgotten.
 			id = "later-" + s.IpAddress + "-" + randomName()
-			events.Log(events.IdentityNew, "id", id)
+			events.Log(events.IdentityCreated, "id", id)
 		}
 		maps.Copy(records, stateRecords(st, -1, 0))
 		records[recordIdentity] = Encode(recordIdentity, id)
@@ -155,15 +155,15 @@
 	h.packedValue, h.highestRound = packed, h.acceptor.Promised.N
 	h.bootID = rand.Int64N(1<<40) << 10
 	h.unreachable.revision = h.bootID
-	h.detector, h.persistedFrontCount = membership.NewWatch(n.heartbeat(1), n.steady()), h.inheritedFrontCount
+	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.heartbeat(1), n.steady()), h.inheritedFrontCount
 	h.ineligible = true // until it has heard a majority
 	leaseDuration := n.heartbeat(1.25)
 	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.Votes(id), n.steady())
-	h.pollLease = lease.New(pollerRole, id, leaseDuration, n.steady())
-	h.pollLease.SetLife(h.incarnation)
-	h.pollLease.See(leases[pollerRole].Epoch, leases[pollerRole].Holder)
+	h.pollLease = lease.NewCandidate(pollerRole, id, leaseDuration, n.steady())
+	h.pollLease.SetIncarnation(h.incarnation)
+	h.pollLease.ObserveEpoch(leases[pollerRole].Epoch, leases[pollerRole].Holder)
 	if h.table != nil {
-		h.pollLease.See(h.table.Stamp.Epoch, h.table.Stamp.By)
+		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.By)
 	}
 	h.applyVoters()
 	h.rollouts = newRolloutController(terms, n.steady())
@@ -181,7 +181,7 @@
 		if err == nil || !time.Now().Before(until) {
 			return err
 		}
-		events.Log(events.DiskTrouble, "err", err)
+		events.Log(events.DiskDegraded, "err", err)
 		time.Sleep(again)
 	}
 }
@@ -189,7 +189,7 @@
 func Encode(name string, v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		events.Log(events.InvariantBroken, "record", name, "err", err)
+		events.Log(events.InvariantViolated, "record", name, "err", err)
 		panic(err)
 	}
 	return b
@@ -217,7 +217,7 @@
 		ids = append(ids, v.ID)
 	}
 	slices.Sort(ids)
-	h.detector.Seat(ids, h.host.steady())
+	h.detector.SetVoters(ids, h.host.steady())
 	h.pollLease.SetVoters(h.acceptor.State.VotersSlot, ids)
 }
 
@@ -288,28 +288,28 @@
 	switch string(c.Request.URI().PathOriginal()) {
 	case PathConsensus:
 		var m ConsensusRequest
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleConsensus(m); err != nil {
-				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
+				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 			} else {
-				transport.Answer(c, 200, say)
+				transport.WriteJSON(c, 200, say)
 			}
 		}
 	case PathLearn:
 		var m LearnRequest
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.handleLearn(c, m)
 		}
 	case PathState:
 		var m StateRequest
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			var say *StateDelta
 			h.loop.Call(func() { say = h.stateDelta(min(m.Slot, h.acceptor.State.Slot)) })
-			transport.Answer(c, 200, say)
+			transport.WriteJSON(c, 200, say)
 		}
 	case PathVersion:
 		var m VersionRequest
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			var say VersionResponse
 			var body []byte
 			h.loop.Call(func() { say, body = h.versionResponse(m) })
@@ -322,101 +322,101 @@
 	case PathPeek:
 		var say PeekResponse
 		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
-		transport.Answer(c, 200, say)
+		transport.WriteJSON(c, 200, say)
 	case PathHeartbeat:
 		var m Heartbeat
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() {
 				h.onHeartbeat(m)
 				granted := h.grantRenewals(m)
 				m = h.heartbeat()
 				m.Granted = granted
 			})
-			transport.Answer(c, 200, m)
+			transport.WriteJSON(c, 200, m)
 		}
 	case PathTable:
 		var m TableRequest
-		if !transport.Read(c, &m) {
+		if !transport.ReadJSON(c, &m) {
 			return true
 		}
 		d, err := UnpackTableDelta(m.Delta, h.host.maxMessage())
 		if err != nil {
-			events.Log(events.MessageRefused, "path", PathTable, "from", c.RemoteAddr(), "err", err)
-			transport.Answer(c, 400, map[string]string{"Error": err.Error()})
+			events.Log(events.MessageRejected, "path", PathTable, "from", c.RemoteAddr(), "err", err)
+			transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 			return true
 		}
 		var say TableResponse
 		h.loop.Call(func() { say.Stamp = h.applyTableDelta(d) })
-		transport.Answer(c, 200, say)
+		transport.WriteJSON(c, 200, say)
 	case PathTableFetch:
 		var m TableFetchRequest
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			var say TableFetchResponse
 			h.loop.Call(func() {
 				if h.table != nil {
 					say.Delta = h.tableDelta(m.Stamp)
 				}
 			})
-			transport.Answer(c, 200, say)
+			transport.WriteJSON(c, 200, say)
 		}
 	case PathLease:
 		var m LeaseRequest
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleLeaseRequest(m); err != nil {
-				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
+				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 			} else {
-				transport.Answer(c, 200, say)
+				transport.WriteJSON(c, 200, say)
 			}
 		}
 	case PathUnreachable:
 		var m UnreachableReport
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() { h.onUnreachableReport(m) })
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case PathCacheJoin:
 		var l consensus.Larder
-		if !transport.Read(c, &l) {
+		if !transport.ReadJSON(c, &l) {
 			return true
 		}
 		if h.handleCacheJoin(l) {
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		} else {
-			transport.Answer(c, 503, map[string]string{"Error": "not agreed"})
+			transport.WriteJSON(c, 503, map[string]string{"Error": "not agreed"})
 		}
 	case PathRolloutReport:
 		var m RolloutReport
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() { h.onRolloutReport(m) })
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case PathRolloutTotals:
 		var m RolloutTotals
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() { h.onRolloutTotals(m) })
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case PathFrontRoster:
 		var r FrontRoster
 		h.loop.Call(func() { r = h.frontRoster() })
-		transport.Answer(c, 200, r)
+		transport.WriteJSON(c, 200, r)
 	case PathSilentVoters:
-		transport.Answer(c, 200, h.memberReport())
+		transport.WriteJSON(c, 200, h.memberReport())
 	case PathPersist:
 		if held, err := h.persistAndReport(); err != nil {
-			transport.Answer(c, 503, map[string]string{"Error": err.Error()})
+			transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 		} else {
-			transport.Answer(c, 200, held)
+			transport.WriteJSON(c, 200, held)
 		}
 	case PathJoin:
 		var m JoinRequest
-		if transport.Read(c, &m) {
-			transport.Answer(c, 200, h.handleJoin(m))
+		if transport.ReadJSON(c, &m) {
+			transport.WriteJSON(c, 200, h.handleJoin(m))
 		}
 	case PathWatch:
 		var m WatchRequest
-		if transport.Read(c, &m) {
-			transport.Answer(c, 200, h.handleWatch(m))
+		if transport.ReadJSON(c, &m) {
+			transport.WriteJSON(c, 200, h.handleWatch(m))
 		}
 	default:
 		return false
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -369,7 +369,7 @@
 // HandleFetch takes a front's ask.
 func (k *Fetcher) HandleFetch(c *app.RequestContext) {
 	var a CacheFetchRequest
-	if !transport.Read(c, &a) {
+	if !transport.ReadJSON(c, &a) {
 		return
 	}
 	s := CacheFetchResponse{Status: 503}
@@ -396,8 +396,8 @@
 		}
 		self := consensus.Larder{Name: k.host.set().NodeName, IP: k.host.set().IpAddress, Zone: k.host.set().Zone}
 		for _, ip := range k.front.ControlIPs() {
-			if k.host.call.Ask(k.host.set().RopeAddr(ip), PathCacheJoin, self, nil, config.Ms(k.host.set().Bounds.AcknowledgeMs, 0.4)) == nil {
-				events.Log(events.LarderListed, "by", ip)
+			if k.host.call.CallJSON(k.host.set().InternalAddress(ip), PathCacheJoin, self, nil, config.Milliseconds(k.host.set().Bounds.AcknowledgeMs, 0.4)) == nil {
+				events.Log(events.CacheNodeRegistered, "by", ip)
 				break
 			}
 		}
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -24,7 +24,7 @@
 // and gives it back where it is not. Renewals go with the beats.
 func (h *ControlServer) leaseLoop() {
 	for {
-		var release, bid lease.Bid
+		var release, bid lease.Request
 		var yields, asks, holds bool
 		var to map[string]string
 		h.loop.Call(func() {
@@ -32,8 +32,8 @@
 			if h.host.leaving.Load() {
 				return
 			}
-			release, yields = h.pollLease.Yield(false, now)
-			if bid, asks = h.pollLease.Ask(now); asks {
+			release, yields = h.pollLease.Release(false, now)
+			if bid, asks = h.pollLease.NextRequest(now); asks {
 				to = h.votersToAsk(now)
 			}
 			h.noteLease(now)
@@ -64,7 +64,7 @@
 	to := map[string]string{}
 	for _, v := range h.acceptor.State.Voters {
 		// A holder can do without those that are silent.
-		if h.leaseRequests[v.ID] || !h.pollLease.Missing(v.ID, now) || h.pollLease.Holds(now) && !h.pollLease.Live(v.ID, now) {
+		if h.leaseRequests[v.ID] || !h.pollLease.NeedsGrantFrom(v.ID, now) || h.pollLease.Holds(now) && !h.pollLease.Alive(v.ID, now) {
 			continue
 		}
 		h.leaseRequests[v.ID] = true
@@ -74,14 +74,14 @@
 }
 
 // requestLease asks one voter for the lease.
-func (h *ControlServer) requestLease(b lease.Bid, id, ip string) {
+func (h *ControlServer) requestLease(b lease.Request, id, ip string) {
 	var say LeaseResponse
 	var err error
 	sent := h.host.steady()
 	if ip == h.host.set().IpAddress {
 		say, err = h.handleLeaseRequest(LeaseRequest{Bid: b})
 	} else {
-		err = h.host.call.Ask(h.host.set().RopeAddr(ip), PathLease, LeaseRequest{Bid: b}, &say, h.host.heartbeat(0.8))
+		err = h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathLease, LeaseRequest{Bid: b}, &say, h.host.heartbeat(0.8))
 	}
 	h.loop.Submit(func() {
 		delete(h.leaseRequests, id)
@@ -90,7 +90,7 @@
 		}
 		h.grantorTables[ip] = grantorTable{say.Grant.Voter, b.Epoch, say.Stamp}
 		now := h.host.steady()
-		h.pollLease.Answer(b, say.Grant, sent, now)
+		h.pollLease.OnResponse(b, say.Grant, sent, now)
 		h.noteLease(now)
 	})
 }
@@ -98,28 +98,28 @@
 // noteLease notes where this node came to have the duty, or has it no more; it
 // runs on the desk.
 func (h *ControlServer) noteLease(now time.Duration) {
-	epoch, holds := h.pollLease.Token(now)
+	epoch, holds := h.pollLease.FencingToken(now)
 	switch {
 	case holds && epoch != h.actingEpoch:
-		events.Log(events.DutyTaken, "epoch", epoch)
+		events.Log(events.LeaseAcquired, "epoch", epoch)
 		h.actingEpoch = epoch
 		select {
 		case h.leaseAcquired <- struct{}{}:
 		default:
 		}
 	case !holds && h.actingEpoch != 0:
-		events.Log(events.DutyLeft, "epoch", h.actingEpoch, "known", h.pollLease.Epoch, "holder", h.pollLease.Holder)
+		events.Log(events.LeaseEnded, "epoch", h.actingEpoch, "known", h.pollLease.ObservedEpoch, "holder", h.pollLease.ObservedHolder)
 		h.actingEpoch = 0
 	}
-	if unfit := !h.pollLease.Fit(now); unfit != h.ineligible {
+	if unfit := !h.pollLease.Eligible(now); unfit != h.ineligible {
 		if h.ineligible = unfit; unfit {
-			events.Log(events.DutyUnfit)
+			events.Log(events.LeaseCandidacySuspended)
 		}
 	}
 }
 
 // releaseLease gives a lease back before its time.
-func (h *ControlServer) releaseLease(b lease.Bid) {
+func (h *ControlServer) releaseLease(b lease.Request) {
 	for _, v := range h.State().Voters {
 		if v.IP == h.host.set().IpAddress {
 			_, _ = h.handleLeaseRequest(LeaseRequest{Bid: b, Release: true})
@@ -127,7 +127,7 @@
 		}
 		go func() {
 			var say LeaseResponse
-			_ = h.host.call.Ask(h.host.set().RopeAddr(v.IP), PathLease, LeaseRequest{Bid: b, Release: true}, &say, h.host.heartbeat(0.8))
+			_ = h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathLease, LeaseRequest{Bid: b, Release: true}, &say, h.host.heartbeat(0.8))
 		}()
 	}
 }
@@ -138,7 +138,7 @@
 	h.loop.Call(func() {
 		now := h.host.steady()
 		if m.Release {
-			h.voter.Release(m.Bid, now)
+			h.voter.HandleRelease(m.Bid, now)
 			select {
 			case h.leaseReleased <- struct{}{}:
 			default:
@@ -158,7 +158,7 @@
 		records, write := h.voter.Records()
 		h.writeRecord(recordLeases, records, func(err error) {
 			if err == nil {
-				h.loop.Submit(func() { h.voter.Kept(write) })
+				h.loop.Submit(func() { h.voter.MarkDurable(write) })
 			}
 			done <- err
 		})
@@ -172,22 +172,22 @@
 }
 
 // grantLease lets the voter answer; it runs on the desk.
-func (h *ControlServer) grantLease(b lease.Bid, now time.Duration) (lease.Grant, int64) {
-	h.voter.Unsettle(h.acceptor.Value != nil && len(h.acceptor.Value.Voters) > 0)
-	return h.voter.Take(b, now)
+func (h *ControlServer) grantLease(b lease.Request, now time.Duration) (lease.Response, int64) {
+	h.voter.SetReconfigurationPending(h.acceptor.Value != nil && len(h.acceptor.Value.Voters) > 0)
+	return h.voter.HandleRequest(b, now)
 }
 
 // leaseRenewals go with a beat of the holder; it runs on the desk.
-func (h *ControlServer) leaseRenewals(now time.Duration) (b lease.Bid, out map[string]LeaseRenewal) {
+func (h *ControlServer) leaseRenewals(now time.Duration) (b lease.Request, out map[string]LeaseRenewal) {
 	if h.host.leaving.Load() {
 		return b, nil
 	}
-	b, ok := h.pollLease.Ask(now)
+	b, ok := h.pollLease.NextRequest(now)
 	if !ok || !h.pollLease.Holds(now) {
 		return b, nil
 	}
 	if g, write := h.grantLease(b, now); write == 0 {
-		h.pollLease.Answer(b, g, now, now)
+		h.pollLease.OnResponse(b, g, now, now)
 	}
 	return b, map[string]LeaseRenewal{b.Duty: {b.Epoch, b.Life, b.VotersSlot}}
 }
@@ -196,7 +196,7 @@
 // the others must be bid for. It runs on the desk.
 func (h *ControlServer) grantRenewals(m Heartbeat) (granted []string) {
 	for duty, r := range m.Renews {
-		if g, write := h.grantLease(lease.Bid{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.host.steady()); g.OK && write == 0 {
+		if g, write := h.grantLease(lease.Request{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.host.steady()); g.OK && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
@@ -204,17 +204,17 @@
 }
 
 // onRenewals takes the answer to renewals sent then; it runs on the desk.
-func (h *ControlServer) onRenewals(b lease.Bid, say Heartbeat, sent time.Duration) {
+func (h *ControlServer) onRenewals(b lease.Request, say Heartbeat, sent time.Duration) {
 	if b.Epoch > 0 && slices.Contains(say.Granted, b.Duty) {
-		h.pollLease.Answer(b, lease.Grant{Voter: say.ID, OK: true}, sent, h.host.steady())
+		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, OK: true}, sent, h.host.steady())
 	}
 }
 
 // resignLease gives the duty back for good: this node leaves.
 func (h *ControlServer) resignLease() {
-	var b lease.Bid
+	var b lease.Request
 	yields := false
-	h.loop.Call(func() { b, yields = h.pollLease.Yield(true, h.host.steady()) })
+	h.loop.Call(func() { b, yields = h.pollLease.Release(true, h.host.steady()) })
 	if yields {
 		h.releaseLease(b)
 	}
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -17,20 +17,20 @@
 
 // replacementTimeout is after how long a voter may lose its place.
 func (h *ControlServer) replacementTimeout() time.Duration {
-	return config.Sec(h.host.set().Bounds.CatchUpS, 0.5)
+	return config.Seconds(h.host.set().Bounds.CatchUpS, 0.5)
 }
 
 // detectorTick notes that this node runs; it runs on the desk.
 func (h *ControlServer) detectorTick() {
 	if h.detector.Tick(h.host.steady()) {
-		events.Log(events.WokeUp)
+		events.Log(events.FailureDetectorReset)
 	}
 }
 
 // onFrontCount remembers how many fronts another hut counts: a node that nobody
 // watches, or that is young, goes by it. It runs on the desk.
 func (h *ControlServer) onFrontCount(n int, now time.Duration) {
-	if now < config.Sec(h.host.set().Bounds.RetryWindowS, 1) {
+	if now < config.Seconds(h.host.set().Bounds.RetryWindowS, 1) {
 		h.inheritedFrontCount = max(h.inheritedFrontCount, n)
 	}
 	if n > h.persistedFrontCount {
@@ -40,12 +40,12 @@
 }
 
 // memberReport is what this node tells a judge.
-func (h *ControlServer) memberReport() (say membership.Say) {
+func (h *ControlServer) memberReport() (say membership.Report) {
 	h.loop.Call(func() {
 		now := h.host.steady()
-		say = membership.Say{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.leaving.Load()}
+		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.leaving.Load()}
 		for _, v := range h.acceptor.State.Voters {
-			if v.ID != h.acceptor.ID && h.detector.Silent(v.ID, now) > h.replacementTimeout() {
+			if v.ID != h.acceptor.ID && h.detector.SilentFor(v.ID, now) > h.replacementTimeout() {
 				say.Silent = append(say.Silent, v.ID)
 			}
 		}
@@ -70,7 +70,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3)):
+	case <-time.After(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3)):
 		err = errors.New("the disk takes too long")
 	}
 	return held, err
@@ -78,15 +78,15 @@
 
 // ensureDurableAt sees to it that another hut has s, or something newer, on its disk.
 func (h *ControlServer) ensureDurableAt(ip string, s consensus.State, until time.Time) (held Heartbeat, ok bool) {
-	addr := h.host.set().RopeAddr(ip)
+	addr := h.host.set().InternalAddress(ip)
 	for try := 0; ; try++ {
 		within := min(h.host.heartbeat(0.6), time.Until(until))
 		if within <= 0 {
 			return held, false
 		}
-		err := h.host.call.Ask(addr, PathPersist, struct{}{}, &held, within)
+		err := h.host.call.CallJSON(addr, PathPersist, struct{}{}, &held, within)
 		if err == nil && held.Slot >= s.Slot {
-			h.loop.Submit(func() { h.handoff.Confirm(ip, held.Slot) })
+			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held.Slot) })
 			return held, true
 		}
 		if err == nil {
@@ -117,7 +117,7 @@
 			return
 		}
 		if held := h.sendState(ip, s.Slot-1, h.host.heartbeat(0.3)); held >= 0 {
-			h.loop.Submit(func() { h.handoff.Confirm(ip, held) })
+			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held) })
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	for _, ip := range ips {
 		go func() {
 			x := peekedPeer{ip: ip}
-			if h.host.call.Ask(h.host.set().RopeAddr(ip), PathPeek, struct{}{}, &x.say, h.host.heartbeat(0.8)) != nil {
+			if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathPeek, struct{}{}, &x.say, h.host.heartbeat(0.8)) != nil {
 				in <- nil
 				return
 			}
@@ -206,7 +206,7 @@
 			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
 				continue
 			}
-			if h.host.call.Ask(h.host.set().RopeAddr(x.ip), PathState, StateRequest{at}, &got, h.host.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.host.call.CallJSON(h.host.set().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -240,8 +240,8 @@
 			asked++
 			go func() {
 				var say JoinResponse
-				err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathJoin, JoinRequest{h.acceptor.ID, h.host.set().IpAddress, h.waitDurable()}, &say, config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.4))
-				events.Log(events.JoinAsked, "of", ip, "votes", say.Votes, "err", err)
+				err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathJoin, JoinRequest{h.acceptor.ID, h.host.set().IpAddress, h.waitDurable()}, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.4))
+				events.Log(events.JoinRequested, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
 		}
@@ -262,18 +262,18 @@
 }
 
 // evaluateJoin asks the voters and the newcomer, and judges.
-func (h *ControlServer) evaluateJoin(m JoinRequest, s consensus.State) ([]consensus.Voter, membership.Verdict) {
-	c := membership.Case{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, Held: m.Slot, Wanted: h.targetVoters(), Left: map[string]bool{}, Voters: []membership.Say{h.memberReport()}}
+func (h *ControlServer) evaluateJoin(m JoinRequest, s consensus.State) ([]consensus.Voter, membership.Decision) {
+	c := membership.Admission{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, NewcomerSlot: m.Slot, TargetVoters: h.targetVoters(), Leaving: map[string]bool{}, VoterReports: []membership.Report{h.memberReport()}}
 	h.loop.Call(func() {
 		for _, v := range s.Voters {
 			if o, ok := h.peers[v.IP]; ok && o.id == v.ID && o.leaving {
-				c.Left[v.ID] = true
+				c.Leaving[v.ID] = true
 			}
 		}
 	})
 	type answer struct {
 		ip  string
-		say *membership.Say
+		say *membership.Report
 	}
 	ips := []string{m.IP}
 	for _, v := range s.Voters {
@@ -284,8 +284,8 @@
 	in := make(chan answer, len(ips))
 	for _, ip := range ips {
 		go func() {
-			var say membership.Say
-			if h.host.call.Ask(h.host.set().RopeAddr(ip), PathSilentVoters, struct{}{}, &say, h.host.heartbeat(0.4)) != nil {
+			var say membership.Report
+			if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathSilentVoters, struct{}{}, &say, h.host.heartbeat(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
 			}
@@ -298,16 +298,16 @@
 		case a.say == nil:
 			continue
 		case a.ip == m.IP:
-			c.Met = a.say
+			c.NewcomerReport = a.say
 		default:
-			c.Voters = append(c.Voters, *a.say)
+			c.VoterReports = append(c.VoterReports, *a.say)
 		}
 		// What no further answer can change need not wait for those that are cut off.
-		if voters, v := c.Judge(); v == membership.Seated || v == membership.Behind || v == membership.Returns || v == membership.Grows {
+		if voters, v := c.Evaluate(); v == membership.AlreadyVoter || v == membership.EvaluatorBehind || v == membership.Rejoins || v == membership.AddsVoter {
 			return voters, v
 		}
 	}
-	return c.Judge()
+	return c.Evaluate()
 }
 
 // handleJoin gives a node a vote, if there is a place for it: the newcomer has
@@ -317,14 +317,14 @@
 	if m.ID == "" || m.IP == "" {
 		return JoinResponse{}
 	}
-	until := time.Now().Add(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.35))
+	until := time.Now().Add(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.35))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
 		voters, v := h.evaluateJoin(m, s)
 		switch v {
-		case membership.Seated:
+		case membership.AlreadyVoter:
 			return JoinResponse{Votes: h.majorityDurable(s, until), Slot: s.Slot}
-		case membership.Behind:
+		case membership.EvaluatorBehind:
 			h.propose(s, nil)
 			continue
 		}
@@ -342,7 +342,7 @@
 		}
 		if chosen, ok := h.changeVoters(m, s.Voters, voters, until); ok {
 			on := h.majorityDurable(chosen, until)
-			events.Log(events.PlaceGiven, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
+			events.Log(events.VoterAdded, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
 			return JoinResponse{Votes: on, Slot: chosen.Slot}
 		}
 	}
@@ -455,8 +455,8 @@
 					held++
 				}
 			}
-			young := h.host.steady() <= config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.75)
-			enough = membership.Enough(len(s.Voters), leaving, h.standbyCount(), held, h.toleratedLosses(), young)
+			young := h.host.steady() <= config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.75)
+			enough = membership.EnoughVoters(len(s.Voters), leaving, h.standbyCount(), held, h.toleratedLosses(), young)
 		})
 		if enough {
 			return true
@@ -482,7 +482,7 @@
 		time.Sleep(h.host.heartbeat(0.01))
 	}
 	p := h.handOffAll(at(0.66))
-	events.Log(events.HandedOff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
+	events.Log(events.DrainHandoff, "done", p.Complete(), "state", p.StateReplicas, "table", p.TableReplicas, "stay", p.StayingNodes, "votes", p.IsVoter, "begun", p.ProposalPending)
 	time.Sleep(time.Until(at(1.0 / 3)))
 	h.store.Close(grace / 4)
 }
@@ -505,7 +505,7 @@
 
 // handOffAll brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *ControlServer) handOffAll(until time.Time) (p membership.Part) {
+func (h *ControlServer) handOffAll(until time.Time) (p membership.HandoffProgress) {
 	finish := make(chan struct{}, 1)
 	for {
 		var s consensus.State
@@ -513,9 +513,9 @@
 		var mine Heartbeat
 		h.loop.Call(func() {
 			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
-			p = membership.Part{Begun: h.acceptor.Value != nil, Votes: s.Votes(h.acceptor.ID), Standby: h.standbyCount() > 0, Others: len(to), Losses: h.toleratedLosses()}
+			p = membership.HandoffProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.Votes(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
 		})
-		if p.Begun {
+		if p.ProposalPending {
 			select {
 			case finish <- struct{}{}:
 				go func() { h.propose(s, nil); <-finish }()
@@ -540,15 +540,15 @@
 			if held == nil || held.Leaving {
 				continue
 			}
-			p.Kept++
-			if !held.Stamp.Less(mine.Stamp) && held.Fronts >= mine.Fronts {
-				p.Tabled++
+			p.StateReplicas++
+			if !held.Stamp.Before(mine.Stamp) && held.Fronts >= mine.Fronts {
+				p.TableReplicas++
 			}
-			if need := min(p.Losses+1, p.Others); p.Kept >= need && p.Tabled >= need {
+			if need := min(p.ToleratedFailures+1, p.StayingNodes); p.StateReplicas >= need && p.TableReplicas >= need {
 				break
 			}
 		}
-		if p.Handed() || !time.Now().Before(until) {
+		if p.Complete() || !time.Now().Before(until) {
 			return p
 		}
 		time.Sleep(min(h.host.heartbeat(0.05), max(0, time.Until(until))))
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -130,15 +130,15 @@
 		for {
 			h.loop.Call(func() {
 				now := h.host.steady()
-				h.detector = membership.NewWatch(time.Hour, 0)
+				h.detector = membership.NewFailureDetector(time.Hour, 0)
 				var ids []string
 				for _, v := range h.acceptor.State.Voters {
 					ids = append(ids, v.ID)
 				}
-				h.detector.Seat(ids, -time.Hour)
+				h.detector.SetVoters(ids, -time.Hour)
 				for _, v := range h.acceptor.State.Voters {
 					if v.IP != w.ip(3) {
-						h.detector.Hear(v.ID, now)
+						h.detector.OnHeartbeat(v.ID, now)
 					}
 				}
 			})
@@ -198,9 +198,9 @@
 	}
 	h.loop.Call(func() {
 		h.frontCount, h.persistedFrontCount = 7, 7
-		stamp = endpoints.Stamp{Epoch: h.pollLease.Epoch + 5, By: h.acceptor.ID, Seq: 1}
-		list := []endpoints.Searcher{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
-		table, _ := endpoints.Next(h.table, list, stamp)
+		stamp = endpoints.Stamp{Epoch: h.pollLease.ObservedEpoch + 5, By: h.acceptor.ID, Seq: 1}
+		list := []endpoints.Endpoint{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
+		table, _ := endpoints.NextTable(h.table, list, stamp)
 		h.setTable(table)
 	})
 	n := w.nodes["3"]
@@ -252,7 +252,7 @@
 		if kept < 7 {
 			t.Errorf("hut %d: %d fronts", k, kept)
 		}
-		if at.Less(stamp) {
+		if at.Before(stamp) {
 			t.Errorf("hut %d: table %v", k, at)
 		}
 	}
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -117,13 +117,13 @@
 
 // LeaseRequest asks a voter for a duty's lease, or gives it back.
 type LeaseRequest struct {
-	Bid     lease.Bid
+	Bid     lease.Request
 	Release bool `json:",omitempty"`
 }
 
 // LeaseResponse is the voter's answer, and the newest table that it holds.
 type LeaseResponse struct {
-	Grant lease.Grant
+	Grant lease.Response
 	Stamp endpoints.Stamp
 }
 
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -47,21 +47,21 @@
 // steady is the node's steady clock.
 func (n *Node) steady() time.Duration { return time.Since(n.born) }
 
-func (n *Node) userTimeout() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) userTimeout() time.Duration { return config.Milliseconds(n.set().Bounds.InTouchMs, 0.5) }
 
 // longHold is how long a call for news may be held at most: one that was lost
 // ends before a machine counts as in touch again.
-func (n *Node) longHold() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.75) }
+func (n *Node) longHold() time.Duration { return config.Milliseconds(n.set().Bounds.InTouchMs, 0.75) }
 
 func (n *Node) heartbeat(ratio float64) time.Duration {
-	return config.Ms(n.set().HeartbeatIntervalMs, ratio)
+	return config.Milliseconds(n.set().HeartbeatIntervalMs, ratio)
 }
 
 // Run is the life of a node; it returns the process's exit code.
 func Run(path, dir string, options Options) int {
 	s, err := config.LoadSettings(path)
 	if err != nil {
-		events.Log(events.SettingsBad, "err", err)
+		events.Log(events.SettingsInvalid, "err", err)
 		return 2
 	}
 	if dir != "" {
@@ -70,7 +70,7 @@
 	tune(s)
 	n, err := open(s, path, options)
 	if err != nil {
-		events.Log(events.SettingsBad, "err", err)
+		events.Log(events.SettingsInvalid, "err", err)
 		return 3
 	}
 	if n.begin() {
@@ -85,11 +85,11 @@
 func open(s *config.Settings, path string, options Options) (*Node, error) {
 	n := &Node{path: path, born: time.Now(), stop: make(chan struct{}), options: options}
 	n.settings.Store(s)
-	n.call = transport.NewClient(16, config.Ms(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
+	n.call = transport.NewClient(16, config.Milliseconds(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
 	n.view = commandloop.New()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
-	n.way = peersampling.New(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
+	n.way = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
 	var err error
 	keeps := options.Role == RoleCache
 	if s.HasDisk() && !keeps {
@@ -139,17 +139,17 @@
 	return int(mb * (1 << 20) / 32)
 }
 
-func (n *Node) listener(idle time.Duration) transport.Listener {
-	return transport.Listener{
-		MaxHeader: 64 << 10, MaxBody: n.maxMessage(), ReadWithin: config.Ms(n.set().Bounds.InTouchMs, 2),
-		IdleFor: idle, UserTimeout: n.userTimeout(),
+func (n *Node) listener(idle time.Duration) transport.ServerOptions {
+	return transport.ServerOptions{
+		MaxHeaderBytes: 64 << 10, MaxBodyBytes: n.maxMessage(), ReadTimeout: config.Milliseconds(n.set().Bounds.InTouchMs, 2),
+		IdleTimeout: idle, TCPUserTimeout: n.userTimeout(),
 	}
 }
 
 // serve opens the port for other nodes and, where the role has it, control.
 func (n *Node) serve() bool {
 	s := n.set()
-	addrs := []string{s.RopeAddr(s.IpAddress)}
+	addrs := []string{s.InternalAddress(s.IpAddress)}
 	if slices.Contains(s.Serves, "control") {
 		addrs = append(addrs, s.ListenAddresses.ControlAddress)
 	}
@@ -162,7 +162,7 @@
 		if i > 0 {
 			handle = n.handleControl
 		}
-		transport.Serve(ln, n.listener(config.Ms(s.Bounds.InTouchMs, 2)), handle)
+		transport.Serve(ln, n.listener(config.Milliseconds(s.Bounds.InTouchMs, 2)), handle)
 		n.sockets = append(n.sockets, ln)
 	}
 	return true
@@ -175,24 +175,24 @@
 		n.handleShuffle(c)
 	case PathRelay:
 		var m relay.Ask
-		if !transport.Read(c, &m) {
+		if !transport.ReadJSON(c, &m) {
 			return
 		}
 		if n.trail == nil {
-			transport.Answer(c, 404, map[string]string{"Error": "no front"})
+			transport.WriteJSON(c, 404, map[string]string{"Error": "no front"})
 		} else if say, ok := n.trail.frontend.Lend(m); ok {
-			transport.Answer(c, 200, say)
+			transport.WriteJSON(c, 200, say)
 		} else {
-			transport.Answer(c, 409, map[string]string{"Error": "another version is in force here"})
+			transport.WriteJSON(c, 409, map[string]string{"Error": "another version is in force here"})
 		}
 	case PathCacheFetch:
 		if n.kitchen == nil {
-			transport.Answer(c, 404, map[string]string{"Error": "no larder"})
+			transport.WriteJSON(c, 404, map[string]string{"Error": "no larder"})
 			return
 		}
 		n.kitchen.HandleFetch(c)
 	case PathStatus:
-		transport.Answer(c, 200, n.Status())
+		transport.WriteJSON(c, 200, n.Status())
 	case PathConfiguration, PathPurge:
 		n.handleControl(ctx, c)
 	default:
@@ -201,7 +201,7 @@
 			return
 		}
 		if n.hut == nil || !n.hut.HandleInternal(c) {
-			transport.Answer(c, 404, map[string]string{"Error": "no such call"})
+			transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
 		}
 	}
 }
@@ -215,20 +215,20 @@
 		defer n.hut.ordersInFlight.Add(-1)
 		if n.hut.closing.Load() {
 			c.Response.Header.Set("Retry-After", "0.2")
-			transport.Answer(c, 503, map[string]string{"Error": "this node leaves"})
+			transport.WriteJSON(c, 503, map[string]string{"Error": "this node leaves"})
 			return
 		}
 	}
 	until := n.until(c)
 	switch {
 	case path != PathConfiguration && path != PathPurge && !rollout:
-		transport.Answer(c, 404, map[string]string{"Error": "no such call"})
+		transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
 	case path == PathConfiguration && m != "GET" && m != "PUT" && m != "PATCH":
-		transport.Answer(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
+		transport.WriteJSON(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
 	case path == PathPurge && m != "POST":
-		transport.Answer(c, 405, map[string]string{"Error": "POST only"})
+		transport.WriteJSON(c, 405, map[string]string{"Error": "POST only"})
 	case rollout && m != "GET" && !(m == "POST" && path == PathRollouts):
-		transport.Answer(c, 405, map[string]string{"Error": "POST " + PathRollouts + " and GET only"})
+		transport.WriteJSON(c, 405, map[string]string{"Error": "POST " + PathRollouts + " and GET only"})
 	case m == "POST" && n.doubtful():
 		// A change of the configuration is known as late by its base, an order isn't.
 		n.unsettled(c, "this node stood still, and the order may be an old one")
@@ -260,18 +260,18 @@
 		add(n.trail.ControlIPs())
 	}
 	add(n.set().SeedIPs())
-	n.view.Call(func() { add(n.way.Huts()) })
+	n.view.Call(func() { add(n.way.ControlIPs()) })
 	return out
 }
 
 func (n *Node) handleShuffle(c *app.RequestContext) {
 	var m ShuffleMessage
-	if !transport.Read(c, &m) {
+	if !transport.ReadJSON(c, &m) {
 		return
 	}
 	var give []peersampling.Node
-	n.view.Call(func() { give = n.way.Answer(m.Nodes) })
-	transport.Answer(c, 200, ShuffleMessage{give})
+	n.view.Call(func() { give = n.way.HandleShuffle(m.Nodes) })
+	transport.WriteJSON(c, 200, ShuffleMessage{give})
 }
 
 // shuffleLoop exchanges parts of the view with neighbours.
@@ -291,14 +291,14 @@
 					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
 				}
 			}
-			partner, offer, ok = n.way.Start()
+			partner, offer, ok = n.way.BeginShuffle()
 		})
 		if !ok {
 			continue
 		}
 		var got ShuffleMessage
-		if err := n.call.Ask(n.set().RopeAddr(partner.IP), PathShuffle, ShuffleMessage{offer}, &got, n.heartbeat(0.8)); err == nil {
-			n.view.Call(func() { n.way.Finish(partner, got.Nodes) })
+		if err := n.call.CallJSON(n.set().InternalAddress(partner.IP), PathShuffle, ShuffleMessage{offer}, &got, n.heartbeat(0.8)); err == nil {
+			n.view.Call(func() { n.way.FinishShuffle(partner, got.Nodes) })
 		}
 	}
 }
@@ -330,7 +330,7 @@
 // FetchStatus asks a node for its status; `swiftswitch status` uses it.
 func FetchStatus(addr string, within time.Duration) ([]byte, error) {
 	cl := transport.NewClient(1, within, within, 8<<20)
-	rep, err := cl.Call(addr, "GET", PathStatus, nil, nil, within)
+	rep, err := cl.Do(addr, "GET", PathStatus, nil, nil, within)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -23,17 +23,17 @@
 func (h *ControlServer) answerRead(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
 	ack := h.host.set().Bounds.AcknowledgeMs
 	for time.Now().Before(until) {
-		s, ok := h.readQuorum(min(config.Ms(ack, 0.6), time.Until(until)))
+		s, ok := h.readQuorum(min(config.Milliseconds(ack, 0.6), time.Until(until)))
 		if !ok {
 			break
 		}
 		at := time.Now()
-		if answer(s); time.Since(at) < config.Ms(ack, maxReadAnswerAge) {
+		if answer(s); time.Since(at) < config.Milliseconds(ack, maxReadAnswerAge) {
 			return
 		}
 		c.Response.Reset()
 	}
-	events.Log(events.ReadUnsettled)
+	events.Log(events.ReadNoQuorum)
 	h.host.unsettled(c, "no majority can be reached")
 }
 
@@ -42,7 +42,7 @@
 	if string(c.Request.Header.Method()) == "GET" {
 		h.answerRead(c, until, func(s consensus.State) {
 			if s.Version == 0 {
-				transport.Answer(c, 404, map[string]string{"Error": "there is no configuration yet"})
+				transport.WriteJSON(c, 404, map[string]string{"Error": "there is no configuration yet"})
 				return
 			}
 			c.SetStatusCode(200)
@@ -57,15 +57,15 @@
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
 	if len(c.Request.Header.Peek(headerPassed)) == 0 {
-		settleBy = time.Now().Add(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.8))
+		settleBy = time.Now().Add(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.8))
 	}
 	status, text := h.changeConfiguration(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
 	if status == 200 {
-		h.waitFrontsHold(h.State().Slot, min(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
-		transport.Answer(c, 200, map[string]int64{"Version": text.version})
+		h.waitFrontsHold(h.State().Slot, min(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
+		transport.WriteJSON(c, 200, map[string]int64{"Version": text.version})
 		return
 	}
-	events.Log(events.ConfigRefused, "status", status, "why", text.why)
+	events.Log(events.ConfigRejected, "status", status, "why", text.why)
 	switch status {
 	case 503:
 		h.host.unsettled(c, text.why)
@@ -73,7 +73,7 @@
 	case 412:
 		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
 	}
-	transport.Answer(c, status, map[string]string{"Error": text.why})
+	transport.WriteJSON(c, status, map[string]string{"Error": text.why})
 }
 
 // changeResult is how a change ended: version is its own, or the current one where it lost.
@@ -171,5 +171,5 @@
 
 // readDuringProposal is a read in the middle of settling an order, no longer than that may take.
 func (h *ControlServer) readDuringProposal(until time.Time) (consensus.State, bool) {
-	return h.readQuorum(min(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
+	return h.readQuorum(min(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
 }
--- a/internal/lodge/patience.go
+++ b/internal/lodge/patience.go
@@ -40,7 +40,7 @@
 
 // patience is how long the caller of a call with a body of that size waits.
 func patience(acknowledgeMs float64, size int) time.Duration {
-	return config.Ms(acknowledgeMs, min(patienceAtMost, patienceRatio+patienceBody*float64(size)/(64<<10)))
+	return config.Milliseconds(acknowledgeMs, min(patienceAtMost, patienceRatio+patienceBody*float64(size)/(64<<10)))
 }
 
 // patienceLeft is what is left of a caller's patience when its call arrives:
@@ -72,9 +72,9 @@
 // unsettled answers that a call can't be settled here and now: the caller may
 // send it again soon, to any node.
 func (n *Node) unsettled(c *app.RequestContext, why string) {
-	in := config.Ms(n.set().Bounds.AcknowledgeMs, 0.02)
+	in := config.Milliseconds(n.set().Bounds.AcknowledgeMs, 0.02)
 	c.Response.Header.Set("Retry-After", strconv.FormatFloat(in.Seconds(), 'f', 3, 64))
-	transport.Answer(c, 503, map[string]string{"Error": why})
+	transport.WriteJSON(c, 503, map[string]string{"Error": why})
 }
 
 // vigil notices that the node stood still (it was frozen, or got no processor
@@ -140,7 +140,7 @@
 // look keeps the vigil; it runs on the view's desk.
 func (n *Node) look() {
 	if still := n.vigil.Look(n.steady()); still > 0 {
-		events.Log(events.StoodStill, "for", still)
+		events.Log(events.ProcessPaused, "for", still)
 	}
 }
 
@@ -180,12 +180,12 @@
 	body := slices.Clone(c.Request.Body())
 	ips := slices.DeleteFunc(n.huts(), func(ip string) bool { return ip == n.set().IpAddress })
 	n.view.Call(func() {
-		ips = n.unheard.Last(ips, n.steady(), config.Ms(n.set().Bounds.InTouchMs, 1))
+		ips = n.unheard.Last(ips, n.steady(), config.Milliseconds(n.set().Bounds.InTouchMs, 1))
 	})
 	note := func(ip string, answered bool) {
 		n.view.Submit(func() { n.unheard.Note(ip, answered, n.steady()) })
 	}
-	in := make(chan *transport.Reply, len(ips))
+	in := make(chan *transport.Response, len(ips))
 	waits, last := 0, ""
 	ask := func() {
 		left := time.Until(until)
@@ -201,7 +201,7 @@
 			hd["If-Match"] = match
 		}
 		go func() {
-			rep, err := n.call.Call(n.set().RopeAddr(ip), method, path, hd, body, left)
+			rep, err := n.call.Do(n.set().InternalAddress(ip), method, path, hd, body, left)
 			settled := err == nil && rep.Status < 500
 			note(ip, settled)
 			if !settled {
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -20,15 +20,15 @@
 		h.loop.Call(func() {
 			silence = h.frontsMissEndpoints()
 			if !h.host.leaving.Load() {
-				epoch, holds = h.pollLease.Token(h.host.steady())
+				epoch, holds = h.pollLease.FencingToken(h.host.steady())
 			}
 		})
 		wait := h.host.heartbeat(0.2)
 		if holds {
 			// While fronts miss searchers, new ones are looked for more often.
-			wait = config.Ms(h.host.set().Bounds.DrainMs, 0.25)
+			wait = config.Milliseconds(h.host.set().Bounds.DrainMs, 0.25)
 			if silence {
-				wait = config.Ms(h.host.set().Bounds.DrainMs, 0.08)
+				wait = config.Milliseconds(h.host.set().Bounds.DrainMs, 0.08)
 			}
 			if h.catchUpTable(epoch) {
 				h.pollOnce(epoch)
@@ -58,7 +58,7 @@
 		}
 		from = held
 		for at, t := range h.grantorTables {
-			if t.epoch == epoch && from.Less(t.stamp) && h.pollLease.Live(t.voter, h.host.steady()) {
+			if t.epoch == epoch && from.Before(t.stamp) && h.pollLease.Alive(t.voter, h.host.steady()) {
 				ip, id, from = at, t.voter, t.stamp
 			}
 		}
@@ -67,18 +67,18 @@
 		return true
 	}
 	var say TableFetchResponse
-	err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathTableFetch, TableFetchRequest{held}, &say, h.host.heartbeat(0.8))
+	err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathTableFetch, TableFetchRequest{held}, &say, h.host.heartbeat(0.8))
 	var d *endpoints.Delta
 	if err == nil {
 		d, err = UnpackTableDelta(say.Delta, h.host.maxMessage())
 	}
 	if err != nil {
-		events.Log(events.TableMissed, "voter", id, "err", err)
+		events.Log(events.TableSyncFailed, "voter", id, "err", err)
 		return false
 	}
 	now := held
 	h.loop.Call(func() { now = h.applyTableDelta(d) })
-	return !now.Less(from)
+	return !now.Before(from)
 }
 
 // pollOnce reads the list whole and merges it under this node's epoch. A list
@@ -86,23 +86,23 @@
 func (h *ControlServer) pollOnce(epoch int64) {
 	list, err := h.fetchInstances()
 	if err != nil {
-		events.Log(events.ListFailed, "err", err)
+		events.Log(events.DiscoveryFailed, "err", err)
 		return
 	}
 	h.loop.Call(func() {
-		if now, ok := h.pollLease.Token(h.host.steady()); !ok || now != epoch {
-			events.Log(events.ListLate, "epoch", epoch)
+		if now, ok := h.pollLease.FencingToken(h.host.steady()); !ok || now != epoch {
+			events.Log(events.DiscoveryDiscarded, "epoch", epoch)
 			return
 		}
 		stamp := endpoints.Stamp{Epoch: epoch, By: h.pollLease.Self, Seq: 1}
 		if h.table != nil && h.table.Stamp.Epoch == stamp.Epoch && h.table.Stamp.By == stamp.By {
 			stamp.Seq = h.table.Stamp.Seq + 1
 		}
-		t, changed := endpoints.Next(h.table, list, stamp)
+		t, changed := endpoints.NextTable(h.table, list, stamp)
 		if !changed {
 			return
 		}
-		events.Log(events.ListChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
+		events.Log(events.EndpointsChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
 		var held endpoints.Stamp
 		if h.table != nil {
 			held = h.table.Stamp
@@ -116,30 +116,30 @@
 
 // mergeTable takes a table of another hut; it runs on the desk.
 func (h *ControlServer) mergeTable(t *endpoints.Table) {
-	if t.Stamp.Epoch < h.pollLease.Epoch && h.table != nil {
-		if t.Stamp.Less(h.table.Stamp) {
-			events.Log(events.TableOld, "epoch", t.Stamp.Epoch, "known", h.pollLease.Epoch)
+	if t.Stamp.Epoch < h.pollLease.ObservedEpoch && h.table != nil {
+		if t.Stamp.Before(h.table.Stamp) {
+			events.Log(events.StaleEpochRejected, "epoch", t.Stamp.Epoch, "known", h.pollLease.ObservedEpoch)
 			return
 		}
 	}
-	h.pollLease.See(t.Stamp.Epoch, t.Stamp.By)
+	h.pollLease.ObserveEpoch(t.Stamp.Epoch, t.Stamp.By)
 	if m := endpoints.Merge(h.table, t); m != h.table {
 		h.setTable(m)
 	}
 }
 
 // fetchInstances reads all pages of the platform's list.
-func (h *ControlServer) fetchInstances() ([]endpoints.Searcher, error) {
-	var out []endpoints.Searcher
+func (h *ControlServer) fetchInstances() ([]endpoints.Endpoint, error) {
+	var out []endpoints.Endpoint
 	token := ""
 	seen := map[string]bool{}
-	within := config.Ms(h.host.set().Bounds.DrainMs, 0.25)
+	within := config.Milliseconds(h.host.set().Bounds.DrainMs, 0.25)
 	for page := 0; page < 1000; page++ {
 		path := "/instances"
 		if token != "" {
 			path += "?PageToken=" + url.QueryEscape(token)
 		}
-		rep, err := h.host.call.Call(h.host.set().CloudApi.Address, "GET", path, nil, nil, within)
+		rep, err := h.host.call.Do(h.host.set().CloudApi.Address, "GET", path, nil, nil, within)
 		if err != nil {
 			return nil, err
 		}
@@ -155,7 +155,7 @@
 				continue
 			}
 			seen[i.InstanceID] = true
-			out = append(out, endpoints.Searcher{
+			out = append(out, endpoints.Endpoint{
 				ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Version: i.Version, Slots: i.Slots,
 				Drains: i.State != "ready", Cold: i.ColdRemainingMs > 0,
 			})
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -27,9 +27,9 @@
 func (n *Node) purgeMs(ratio float64) time.Duration {
 	b := n.set().Bounds
 	if b.PurgeMs > 0 {
-		return config.Ms(b.PurgeMs, ratio)
+		return config.Milliseconds(b.PurgeMs, ratio)
 	}
-	return config.Ms(b.ConfigEffectMs, ratio)
+	return config.Milliseconds(b.ConfigEffectMs, ratio)
 }
 
 // HandlePurge takes the operator's purge: agreed by a majority, then
@@ -38,12 +38,12 @@
 // dropped and fetched once more, and nothing older comes of it.
 func (h *ControlServer) HandlePurge(c *app.RequestContext, until time.Time) {
 	if len(c.Request.Body()) > maxPurgeBytes {
-		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
-	o, err := config.ParsePurge(c.Request.Body())
+	o, err := config.ParsePurgeRequest(c.Request.Body())
 	if err != nil {
-		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
+		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
 	w := &pendingPurge{purge: consensus.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
@@ -57,12 +57,12 @@
 	case ok := <-w.done:
 		if ok && h.waitReplicated(until) {
 			h.waitFrontsHold(h.State().Slot, min(h.host.purgeMs(0.25), time.Until(until)/2))
-			transport.Answer(c, 200, map[string]string{"Purged": w.purge.ID})
+			transport.WriteJSON(c, 200, map[string]string{"Purged": w.purge.ID})
 			return
 		}
 	case <-h.host.stop:
 	}
-	events.Log(events.PurgeUnsettled, "host", o.HostName, "path", o.Path, "tag", o.Tag)
+	events.Log(events.PurgeNoQuorum, "host", o.HostName, "path", o.Path, "tag", o.Tag)
 	h.host.unsettled(c, "no majority agreed in time")
 }
 
@@ -184,7 +184,7 @@
 	var gone map[string]bool
 	h.loop.Call(func() {
 		now := h.host.steady()
-		long := config.Sec(h.host.set().Bounds.CatchUpS, 1)
+		long := config.Seconds(h.host.set().Bounds.CatchUpS, 1)
 		for _, l := range h.acceptor.State.Larders {
 			at := h.cacheNodeHeardAt[l.IP]
 			for _, f := range h.fronts {
@@ -223,5 +223,5 @@
 		}
 		return left
 	})
-	events.Log(events.LarderStruck, "count", len(gone), "done", ok)
+	events.Log(events.CacheNodesRemoved, "count", len(gone), "done", ok)
 }
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -49,7 +49,7 @@
 )
 
 // loadRecords reads all records into the values given; those that are not there stay.
-func loadRecords(cel *storage.Cellar, records map[string]any) error {
+func loadRecords(cel *storage.Store, records map[string]any) error {
 	for name, v := range records {
 		raw, err := cel.Get(name)
 		if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // loadState reads what was decided, and what this voter said about the open slot.
-func loadState(cel *storage.Cellar, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
+func loadState(cel *storage.Store, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
 	var body BodyRecord
 	var rec BallotRecord
 	pages := make([][]consensus.Taken, takenPages)
@@ -165,7 +165,7 @@
 	})
 	select {
 	case <-w.done:
-	case <-time.After(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.5)):
 	case <-h.host.stop:
 	}
 	h.loop.Call(func() {
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -85,9 +85,9 @@
 			h.persistTerms(now)
 		}
 		if r.Phase == consensus.Canary {
-			events.Log(events.RolloutOrdered, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
+			events.Log(events.RolloutAccepted, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
 		} else {
-			events.Log(events.RolloutPhase, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
+			events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		})
 		if send != nil && to != "" {
 			go func() {
-				_ = h.host.call.Ask(h.host.set().RopeAddr(to), PathRolloutTotals, *send, nil, h.host.heartbeat(0.5))
+				_ = h.host.call.CallJSON(h.host.set().InternalAddress(to), PathRolloutTotals, *send, nil, h.host.heartbeat(0.5))
 			}()
 		}
 		for _, r := range steps {
@@ -203,7 +203,7 @@
 	own := c.totals.Own()
 	if !h.pollLease.Holds(now) {
 		for ip, o := range h.peers {
-			if o.id == h.pollLease.Holder {
+			if o.id == h.pollLease.ObservedHolder {
 				to = ip
 			}
 		}
@@ -216,14 +216,14 @@
 		j.Loaded = r.Phase != consensus.Canary
 		for _, a := range j.Step(now) {
 			if a.Bad {
-				events.Log(events.ChartSignal, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
+				events.Log(events.CUSUMAlarm, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
 			} else {
-				events.Log(events.ChartFalse, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
+				events.Log(events.CUSUMAlarmDismissed, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
 			}
 		}
 		f := rollout.Facts{
 			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.phaseKnownAt[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
-			Behind: lag[r.N], Report: h.host.heartbeat(0.6), Settle: config.Ms(h.host.set().Bounds.ConfigEffectMs, 0.5),
+			Behind: lag[r.N], Report: h.host.heartbeat(0.6), Settle: config.Milliseconds(h.host.set().Bounds.ConfigEffectMs, 0.5),
 		}
 		for _, b := range c.laggingReports {
 			if now-b.at < h.host.heartbeat(1) {
@@ -265,7 +265,7 @@
 		return
 	}
 	defer h.proposalLock.Unlock()
-	until := time.Now().Add(config.Ms(h.host.set().Bounds.AcknowledgeMs, 0.3))
+	until := time.Now().Add(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
 		now, ok := s.Rollout(r.Service)
@@ -308,13 +308,13 @@
 		return
 	}
 	if len(c.Request.Body()) > maxRolloutBytes {
-		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
-	o, err := config.ParseRollout(c.Request.Body())
+	o, err := config.ParseRolloutRequest(c.Request.Body())
 	if err != nil {
-		events.Log(events.RolloutRefused, "why", err)
-		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
+		events.Log(events.RolloutRejected, "why", err)
+		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
 	status, why := h.decideOrder(consensus.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
@@ -322,15 +322,15 @@
 		status, why = 503, "too few nodes hold it yet"
 	}
 	if status != 200 {
-		events.Log(events.RolloutRefused, "service", o.Service, "status", status, "why", why)
+		events.Log(events.RolloutRejected, "service", o.Service, "status", status, "why", why)
 	}
 	switch status {
 	case 200:
-		transport.Answer(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
+		transport.WriteJSON(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
 	case 503:
 		h.host.unsettled(c, why)
 	default:
-		transport.Answer(c, status, map[string]string{"Error": why})
+		transport.WriteJSON(c, status, map[string]string{"Error": why})
 	}
 }
 
@@ -352,7 +352,7 @@
 		case h.isolated():
 			return 503, "no majority can be reached"
 		case h.isDuplicateOrder(s, o):
-			events.Log(events.OrderLate, "service", o.Service, "to", o.Target)
+			events.Log(events.RolloutOrderStale, "service", o.Service, "to", o.Target)
 			return 200, ""
 		}
 		runs := known && old.Running()
@@ -394,12 +394,12 @@
 	}
 	at := time.Duration(0)
 	h.loop.Call(func() { at = h.rollouts.orderKnownAt[slot] })
-	return h.host.steady()-at < config.Ms(h.host.set().Bounds.AcknowledgeMs, duplicateOrderWindow)
+	return h.host.steady()-at < config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, duplicateOrderWindow)
 }
 
 // hasService tells whether the configuration in force names a service.
 func hasService(s consensus.State, service string) bool {
-	c, err := config.TakeConfiguration([]byte(s.Body))
+	c, err := config.DecodeConfiguration([]byte(s.Body))
 	return err == nil && slices.ContainsFunc(c.Services, func(x *config.Service) bool { return x.Name == service })
 }
 
@@ -408,16 +408,16 @@
 	h.answerRead(c, until, func(s consensus.State) {
 		all := h.rolloutStatuses(s)
 		if service == "" {
-			transport.Answer(c, 200, map[string]any{"Rollouts": all})
+			transport.WriteJSON(c, 200, map[string]any{"Rollouts": all})
 			return
 		}
 		for _, r := range all {
 			if r.Service == service {
-				transport.Answer(c, 200, r)
+				transport.WriteJSON(c, 200, r)
 				return
 			}
 		}
-		transport.Answer(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
+		transport.WriteJSON(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
 	})
 }
 
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -55,7 +55,7 @@
 		var silent []time.Duration
 		for _, v := range s.Voters {
 			st.Voters = append(st.Voters, v.ID+"@"+v.IP)
-			silent = append(silent, h.pollLease.Silent(v.ID, now))
+			silent = append(silent, h.pollLease.SilentFor(v.ID, now))
 		}
 		if slices.Sort(silent); len(silent) > 0 {
 			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
@@ -68,8 +68,8 @@
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
 			}
 		}
-		st.Epoch, st.Holder, st.Polling = h.pollLease.Epoch, h.pollLease.Holder, h.pollLease.Holds(now)
-		if sent, ok := h.pollLease.Since(); ok && st.Polling {
+		st.Epoch, st.Holder, st.Polling = h.pollLease.ObservedEpoch, h.pollLease.ObservedHolder, h.pollLease.Holds(now)
+		if sent, ok := h.pollLease.LeaseStart(); ok && st.Polling {
 			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
 		}
 		if h.table != nil {
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -33,10 +33,10 @@
 func (h *ControlServer) sendTable(ip string, held endpoints.Stamp) {
 	stamp, d, whole := h.table.Stamp, h.tableDelta(held), h.tableDelta(endpoints.Stamp{})
 	go func() {
-		addr, within := h.host.set().RopeAddr(ip), h.host.heartbeat(0.8)
+		addr, within := h.host.set().InternalAddress(ip), h.host.heartbeat(0.8)
 		var say TableResponse
-		if err := h.host.call.Ask(addr, PathTable, TableRequest{d}, &say, within); err == nil && say.Stamp.Less(stamp) {
-			_ = h.host.call.Ask(addr, PathTable, TableRequest{whole}, &say, within)
+		if err := h.host.call.CallJSON(addr, PathTable, TableRequest{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
+			_ = h.host.call.CallJSON(addr, PathTable, TableRequest{whole}, &say, within)
 		}
 	}()
 }
@@ -48,7 +48,7 @@
 	if d.From == (endpoints.Stamp{}) {
 		from = nil
 	}
-	if t := from.Follow(d); t != nil {
+	if t := from.Apply(d); t != nil {
 		h.mergeTable(t)
 	}
 	if h.table == nil {
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -148,7 +148,7 @@
 	rollouts rolloutFollower
 
 	listener atomic.Pointer[net.Listener]
-	gate     transport.Gate
+	gate     transport.ConnTracker
 	// defaultLimits are the limits for clients where the operator gives none.
 	defaultLimits routing.Limits
 }
@@ -167,21 +167,21 @@
 		return nil, err
 	}
 	t := &FrontServer{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
-	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Ms(b.InTouchMs, 1), Idle: config.Ms(b.InTouchMs, 3)}
+	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), Idle: config.Milliseconds(b.InTouchMs, 3)}
 	t.endpoints = upstream.New(upstream.Options{
-		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Ms(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
-		KeepIdle: config.Ms(b.InTouchMs, 1), Settle: config.Ms(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Ms(b.InTouchMs, 0.2),
-		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Ms(b.InTouchMs, 0.75),
+		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
+		KeepIdle: config.Milliseconds(b.InTouchMs, 1), Settle: config.Milliseconds(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Milliseconds(b.InTouchMs, 0.2),
+		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Milliseconds(b.InTouchMs, 0.75),
 	})
 	t.retryBudget = ratelimit.New(ratelimit.Rules{
-		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Sec(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
+		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
 	}, n.steady())
 	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
 	t.frontend = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
 	if opt.Saddle {
 		t.relays = relay.NewChoice(n.heartbeat(1))
 		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
-			err := n.call.Ask(n.set().RopeAddr(ip), PathRelay, ask, say, within)
+			err := n.call.CallJSON(n.set().InternalAddress(ip), PathRelay, ask, say, within)
 			if err != nil {
 				// Others may do better.
 				t.rosterAskedAt.Store(0)
@@ -204,7 +204,7 @@
 		t.fetcher = NewFetcher(n, t, int(memory*opt.Shelf/4))
 	}
 	t.layouts = shardmap.New(shardmap.Options{
-		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Ms(b.ConfigEffectMs, opt.SwitchWait),
+		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
 	})
 	t.progress.Store(&progress{slot: -1, purge: -1, rolloutSlot: -1})
 	t.endpoints.Full = func(id string) {
@@ -329,7 +329,7 @@
 			First: first, Larder: t.cacheNode, Roster: first && t.rosterDue(), Hello: !t.locatedControl.Load(), Heard: t.unreachableRevision.Load(),
 		}
 		var say WatchResponse
-		err := n.call.Ask(n.set().RopeAddr(ip), PathWatch, ask, &say, hold+n.heartbeat(0.8))
+		err := n.call.CallJSON(n.set().InternalAddress(ip), PathWatch, ask, &say, hold+n.heartbeat(0.8))
 		if err != nil {
 			fails++
 			hold = n.heartbeat(1)
@@ -351,7 +351,7 @@
 		var d *endpoints.Delta
 		if say.Delta != nil {
 			if d, err = UnpackTableDelta(say.Delta, n.maxMessage()); err != nil {
-				events.Log(events.MessageRefused, "from", ip, "path", PathWatch, "err", err)
+				events.Log(events.MessageRejected, "from", ip, "path", PathWatch, "err", err)
 				d = nil
 			}
 		}
@@ -362,7 +362,7 @@
 			}
 			continue
 		}
-		behind := func() bool { return t.progress.Load().stamp.Less(say.Stamp) }
+		behind := func() bool { return t.progress.Load().stamp.Before(say.Stamp) }
 		late := func() bool { return t.progress.Load().version < say.Version }
 		if !first && (behind() || late()) {
 			// The hut watched first brings it cheaper, if it is there.
@@ -391,7 +391,7 @@
 // discoverControlNodes looks for huts in the view when those known don't answer.
 func (t *FrontServer) discoverControlNodes() {
 	var found []string
-	t.host.view.Call(func() { found = t.host.way.Huts() })
+	t.host.view.Call(func() { found = t.host.way.ControlIPs() })
 	found = append(found, t.host.set().SeedIPs()...)
 	t.loop.Call(func() {
 		for _, ip := range found {
@@ -450,12 +450,12 @@
 	if !t.cacheNode {
 		t.endpoints.SetShare(most)
 	}
-	if d != nil && (t.table == nil || t.table.Stamp.Less(d.To)) {
+	if d != nil && (t.table == nil || t.table.Stamp.Before(d.To)) {
 		from := t.table
 		if d.From == (endpoints.Stamp{}) {
 			from = nil
 		}
-		if table := from.Follow(d); table != nil {
+		if table := from.Apply(d); table != nil {
 			t.setTable(table)
 		}
 	}
@@ -496,7 +496,7 @@
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.host.call.Call(t.host.set().RopeAddr(ip), "POST", PathVersion, nil, Encode("version", ask), config.Ms(t.host.set().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.host.call.Do(t.host.set().InternalAddress(ip), "POST", PathVersion, nil, Encode("version", ask), config.Milliseconds(t.host.set().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
@@ -510,10 +510,10 @@
 		if have == nil || have.Version != say.From {
 			return
 		}
-		c = have.Follow(c, say.Gone)
+		c = have.ApplyDelta(c, say.Gone)
 	}
 	if err != nil || c.Version != say.Version {
-		events.Log(events.MessageRefused, "from", ip, "version", say.Version, "err", err)
+		events.Log(events.MessageRejected, "from", ip, "version", say.Version, "err", err)
 		return
 	}
 	t.configuration.Store(c)
@@ -526,7 +526,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.TakeConfiguration(raw)
+	return config.DecodeConfiguration(raw)
 }
 
 // applyConfiguration puts decided state in its place; it runs on the desk. A node never
@@ -543,7 +543,7 @@
 	if t.layouts.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.host.steady()) {
 		t.publish()
 	} else {
-		events.Log(events.CutNext, "version", v, "current", t.layouts.Current.Version)
+		events.Log(events.LayoutPending, "version", v, "current", t.layouts.Current.Version)
 	}
 	t.advanceLayouts()
 }
@@ -557,7 +557,7 @@
 		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
 	}
 	if switched {
-		events.Log(events.CutSwitched, "from", old, "to", t.layouts.Current.Version, "ready", ready)
+		events.Log(events.LayoutSwitched, "from", old, "to", t.layouts.Current.Version, "ready", ready)
 	}
 	if switched || len(freed) > 0 {
 		t.publish()
@@ -595,9 +595,9 @@
 // a table, requests wait at its head.
 func (t *FrontServer) serveClients() {
 	lis := t.host.listener(t.defaultLimits.Idle)
-	lis.MaxHeader = t.host.maxMessage() / 16
-	lis.Gate = &t.gate
-	lis.Limits = func() (time.Duration, time.Duration) {
+	lis.MaxHeaderBytes = t.host.maxMessage() / 16
+	lis.Tracker = &t.gate
+	lis.Timeouts = func() (time.Duration, time.Duration) {
 		if s := t.frontend.Current(); s != nil {
 			return s.Map.Limits.HeaderTimeout, s.Map.Limits.Idle
 		}
@@ -623,7 +623,7 @@
 		if t.ready.Load() && !t.host.leaving.Load() {
 			status = 200
 		}
-		transport.Answer(c, status, map[string]bool{"Ready": status == 200})
+		transport.WriteJSON(c, status, map[string]bool{"Ready": status == 200})
 	})
 }
 
@@ -634,7 +634,7 @@
 		t.loop.Call(func() {
 			t.advanceLayouts()
 			if t.layouts.Next != nil {
-				wait = config.Ms(t.host.set().Bounds.ConfigEffectMs, 0.02)
+				wait = config.Milliseconds(t.host.set().Bounds.ConfigEffectMs, 0.02)
 			}
 		})
 		t.endpoints.Sweep(time.Now())
@@ -648,16 +648,16 @@
 
 // Drain lets the platform send its clients elsewhere, then ends what is under way.
 func (t *FrontServer) Drain(start time.Time, grace time.Duration) {
-	events.Log(events.FrontUnready, "why", "leaving")
+	events.Log(events.FrontNotReady, "why", "leaving")
 	t.frontend.Leave()
 	time.Sleep(time.Until(start.Add(grace / 2)))
 	if ln := t.listener.Load(); ln != nil {
 		(*ln).Close()
 	}
 	// Connections at rest are ended unread; the others end with their answer.
-	t.gate.Shut()
+	t.gate.Drain()
 	ended := false
-	for time.Since(start) < grace*92/100 && (t.gate.Busy() > 0 || t.frontend.Busy() > 0) {
+	for time.Since(start) < grace*92/100 && (t.gate.Active() > 0 || t.frontend.Busy() > 0) {
 		if !ended && time.Since(start) > grace*65/100 {
 			ended = true
 			t.frontend.End()
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -113,7 +113,7 @@
 	}
 	if h.table != nil {
 		say.Stamp = h.table.Stamp
-		if m.Stamp.Less(h.table.Stamp) {
+		if m.Stamp.Before(h.table.Stamp) {
 			news = true
 			if !m.Brief && !m.Hello {
 				say.Delta = h.tableDelta(m.Stamp)
@@ -152,7 +152,7 @@
 // fetchRoster brings the roll of another hut.
 func (h *ControlServer) fetchRoster(ip string) {
 	var r FrontRoster
-	err := h.host.call.Ask(h.host.set().RopeAddr(ip), PathFrontRoster, struct{}{}, &r, h.host.heartbeat(0.8))
+	err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathFrontRoster, struct{}{}, &r, h.host.heartbeat(0.8))
 	h.loop.Submit(func() {
 		if err != nil {
 			r = h.peerRosters[ip].FrontRoster
@@ -168,7 +168,7 @@
 func (h *ControlServer) roster(now time.Duration, but string) []relay.Front {
 	all := h.frontRoster().Fronts
 	for ip, r := range h.peerRosters {
-		if now-h.peers[ip].heardAt < config.Ms(h.host.set().Bounds.InTouchMs, 1) {
+		if now-h.peers[ip].heardAt < config.Milliseconds(h.host.set().Bounds.InTouchMs, 1) {
 			all = append(all, r.Fronts...)
 		}
 	}
@@ -205,7 +205,7 @@
 // in its life before: after a loss of everything the fronts must not think
 // that each of them is alone. It runs on the desk.
 func (h *ControlServer) countFronts(now time.Duration) int {
-	window := config.Sec(h.host.set().Bounds.RetryWindowS, 1)
+	window := config.Seconds(h.host.set().Bounds.RetryWindowS, 1)
 	if h.frontsCountedAt > 0 && now-h.frontsCountedAt < h.host.heartbeat(0.1) && len(h.fronts) > alwaysRecount {
 		// Many ask at once, and each would count them all.
 		return h.frontCount
@@ -294,8 +294,8 @@
 			if b.Version != m.Version {
 				continue
 			}
-			if d, ok := config.Between([]byte(b.Body), raw); ok {
-				p.response.From, p.response.Gone, raw = m.Version, d.Gone, d.Body
+			if d, ok := config.Diff([]byte(b.Body), raw); ok {
+				p.response.From, p.response.Gone, raw = m.Version, d.Removed, d.Changes
 			}
 		}
 		p.body = GzipPack(raw)
