--- a/cmd/swiftswitch/main.go
+++ b/cmd/swiftswitch/main.go
@@ -234,7 +234,7 @@
 		if err != nil {
 			return exit{exitBad, err}
 		}
-		if _, err := config.ParsePurge(raw); err != nil {
+		if _, err := config.ParsePurgeRequest(raw); err != nil {
 			return exit{exitBad, err}
 		}
 		if _, err := callNode(node, "POST", "/-/purge", nil, raw, within); err != nil {
@@ -274,11 +274,11 @@
 	}
 	var seconds float64
 	start := &cobra.Command{Use: "start SERVICE VERSION", Short: "Order a rollout", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, a []string) error {
-		raw, err := json.Marshal(config.RolloutOrder{Service: a[0], TargetVersion: a[1], DurationS: seconds})
+		raw, err := json.Marshal(config.RolloutRequest{Service: a[0], TargetVersion: a[1], DurationS: seconds})
 		if err != nil {
 			return exit{exitBad, err}
 		}
-		if _, err := config.ParseRollout(raw); err != nil {
+		if _, err := config.ParseRolloutRequest(raw); err != nil {
 			return exit{exitBad, err}
 		}
 		if _, err := callNode(node, "POST", "/-/rollouts", nil, raw, within); err != nil {
--- a/examples/hollow/main.go
+++ b/examples/hollow/main.go
@@ -151,7 +151,7 @@
 		wait("the draining everywhere", begun, func() bool {
 			_, now := h.Newest()
 			_, n := h.Ready(version, now)
-			return before.Less(now) && n == *fronts
+			return before.Before(now) && n == *fronts
 		})
 	})
 	h.Stop()
--- a/internal/config/between.go
+++ b/internal/config/between.go
@@ -6,25 +6,25 @@
 	"slices"
 )
 
-// Difference is what changed from one configuration to the next: the items
+// Delta is what changed from one configuration to the next: the items
 // that are new or other, everything that is no list of items, and the names
 // of the items that are gone.
-type Difference struct {
-	// Body is a configuration that holds just that.
-	Body []byte
-	Gone map[string][]string
+type Delta struct {
+	// Changes is a configuration that holds just that.
+	Changes []byte
+	Removed map[string][]string
 }
 
-// Between gives the difference between two checked configurations; ok is
+// Diff gives the difference between two checked configurations; ok is
 // false where their items can't be told by name.
-func Between(from, to []byte) (d Difference, ok bool) {
+func Diff(from, to []byte) (d Delta, ok bool) {
 	a, ok1 := split(from)
 	b, ok2 := split(to)
 	if !ok1 || !ok2 {
 		return d, false
 	}
 	whole := b.rest
-	d.Gone = map[string][]string{}
+	d.Removed = map[string][]string{}
 	for _, list := range patched {
 		was := a.items[list]
 		changed := []json.RawMessage{}
@@ -35,9 +35,9 @@
 			delete(was, n)
 		}
 		for n := range was {
-			d.Gone[list] = append(d.Gone[list], n)
+			d.Removed[list] = append(d.Removed[list], n)
 		}
-		slices.Sort(d.Gone[list])
+		slices.Sort(d.Removed[list])
 		raw, err := json.Marshal(changed)
 		if err != nil {
 			return d, false
@@ -45,7 +45,7 @@
 		whole[list] = raw
 	}
 	body, err := json.Marshal(whole)
-	d.Body = body
+	d.Changes = body
 	return d, err == nil
 }
 
@@ -79,8 +79,8 @@
 	return p, true
 }
 
-// Follow gives the configuration after a difference that was read into d.
-func (c *Configuration) Follow(d *Configuration, gone map[string][]string) *Configuration {
+// ApplyDelta gives the configuration after a difference that was read into d.
+func (c *Configuration) ApplyDelta(d *Configuration, gone map[string][]string) *Configuration {
 	n := &Configuration{Version: d.Version, Limits: d.Limits}
 	n.Routes = follow(c.Routes, d.Routes, gone["Routes"])
 	n.Services = follow(c.Services, d.Services, gone["Services"])
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -13,14 +13,14 @@
 
 // Route kinds.
 const (
-	KindSafe   = "safe"
-	KindUnsafe = "unsafe"
-	// KindCached routes are safe, and their answers may be kept.
-	KindCached = "cached"
+	RouteKindSafe   = "safe"
+	RouteKindUnsafe = "unsafe"
+	// RouteKindCached routes are safe, and their answers may be kept.
+	RouteKindCached = "cached"
 )
 
-// TakeConfiguration reads a configuration that was checked when it was agreed on.
-func TakeConfiguration(raw []byte) (*Configuration, error) {
+// DecodeConfiguration reads a configuration that was checked when it was agreed on.
+func DecodeConfiguration(raw []byte) (*Configuration, error) {
 	c := &Configuration{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(raw, c); err != nil {
 		return nil, fmt.Errorf("not a configuration: %w", err)
@@ -31,7 +31,7 @@
 // ParseConfiguration reads a configuration from the operator's bytes and
 // checks all that can be checked without knowing the version in force.
 func ParseConfiguration(raw []byte) (*Configuration, error) {
-	c, err := TakeConfiguration(raw)
+	c, err := DecodeConfiguration(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		return fmt.Errorf("PathPrefix %q must begin and end with a slash", r.PathPrefix)
 	}
-	if r.RouteKind != KindSafe && r.RouteKind != KindUnsafe && r.RouteKind != KindCached {
+	if r.RouteKind != RouteKindSafe && r.RouteKind != RouteKindUnsafe && r.RouteKind != RouteKindCached {
 		return fmt.Errorf("RouteKind %q is none of safe, cached and unsafe", r.RouteKind)
 	}
 	if !(r.TimeoutMs > 0) {
@@ -160,7 +160,7 @@
 			}
 			seen[s] = true
 		}
-		if r.RouteKind != KindSafe {
+		if r.RouteKind != RouteKindSafe {
 			return errors.New("a gathered route must be safe")
 		}
 	}
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -116,33 +116,33 @@
 	return json.Marshal(whole)
 }
 
-// PurgeOrder names what may not be served from copies any more.
-type PurgeOrder struct {
+// PurgeRequest names what may not be served from copies any more.
+type PurgeRequest struct {
 	HostName, Path, Tag string
 }
 
-// ParsePurge reads the operator's purge: a host with a path, or a tag.
-func ParsePurge(raw []byte) (PurgeOrder, error) {
+// ParsePurgeRequest reads the operator's purge: a host with a path, or a tag.
+func ParsePurgeRequest(raw []byte) (PurgeRequest, error) {
 	var p struct{ HostName, Path, Tag *string }
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&p); err != nil {
-		return PurgeOrder{}, fmt.Errorf("not a purge: %w", err)
+		return PurgeRequest{}, fmt.Errorf("not a purge: %w", err)
 	}
 	if dec.More() {
-		return PurgeOrder{}, errors.New("more follows the purge")
+		return PurgeRequest{}, errors.New("more follows the purge")
 	}
 	has := func(s *string) bool { return s != nil && *s != "" }
 	switch {
 	case has(p.Tag) && p.HostName == nil && p.Path == nil:
-		return PurgeOrder{Tag: *p.Tag}, nil
+		return PurgeRequest{Tag: *p.Tag}, nil
 	case has(p.HostName) && has(p.Path) && (*p.Path)[0] == '/' && p.Tag == nil:
-		return PurgeOrder{HostName: *p.HostName, Path: *p.Path}, nil
+		return PurgeRequest{HostName: *p.HostName, Path: *p.Path}, nil
 	}
-	return PurgeOrder{}, errors.New("a purge wants either HostName and Path, or Tag")
+	return PurgeRequest{}, errors.New("a purge wants either HostName and Path, or Tag")
 }
 
-// RolloutOrder asks to move a service's requests to searchers of another version.
-type RolloutOrder struct {
+// RolloutRequest asks to move a service's requests to searchers of another version.
+type RolloutRequest struct {
 	Service, TargetVersion string
 	DurationS              float64
 }
@@ -153,27 +153,27 @@
 	versionMost = 256
 )
 
-// ParseRollout reads the operator's order and checks all that can be checked
+// ParseRolloutRequest reads the operator's order and checks all that can be checked
 // without knowing the services.
-func ParseRollout(raw []byte) (RolloutOrder, error) {
+func ParseRolloutRequest(raw []byte) (RolloutRequest, error) {
 	var o struct {
 		Service, TargetVersion *string
 		DurationS              *float64
 	}
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if err := dec.Decode(&o); err != nil {
-		return RolloutOrder{}, fmt.Errorf("not an order of a rollout: %w", err)
+		return RolloutRequest{}, fmt.Errorf("not an order of a rollout: %w", err)
 	}
 	if dec.More() {
-		return RolloutOrder{}, errors.New("more follows the order")
+		return RolloutRequest{}, errors.New("more follows the order")
 	}
 	switch {
 	case o.Service == nil || *o.Service == "":
-		return RolloutOrder{}, errors.New("Service is missing")
+		return RolloutRequest{}, errors.New("Service is missing")
 	case o.TargetVersion == nil || *o.TargetVersion == "" || len(*o.TargetVersion) > versionMost:
-		return RolloutOrder{}, fmt.Errorf("TargetVersion must have from 1 to %d bytes", versionMost)
+		return RolloutRequest{}, fmt.Errorf("TargetVersion must have from 1 to %d bytes", versionMost)
 	case o.DurationS == nil || !(*o.DurationS > 0) || *o.DurationS > rolloutMost:
-		return RolloutOrder{}, fmt.Errorf("DurationS must be above 0 and at most %d", rolloutMost)
+		return RolloutRequest{}, fmt.Errorf("DurationS must be above 0 and at most %d", rolloutMost)
 	}
-	return RolloutOrder{*o.Service, *o.TargetVersion, *o.DurationS}, nil
+	return RolloutRequest{*o.Service, *o.TargetVersion, *o.DurationS}, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,15 +12,15 @@
 	"sigs.k8s.io/yaml"
 )
 
-// SettingsEnv names the variable that holds the settings file's path.
-const SettingsEnv = "SWIFTSWITCH_SETTINGS"
+// SettingsPathEnv names the variable that holds the settings file's path.
+const SettingsPathEnv = "SWIFTSWITCH_SETTINGS"
 
 // DefaultSettingsPath is used where the variable is not set.
 const DefaultSettingsPath = "/etc/swiftswitch/boot.yaml"
 
 // SettingsPath says which settings file this process reads.
 func SettingsPath() string {
-	if p := os.Getenv(SettingsEnv); p != "" {
+	if p := os.Getenv(SettingsPathEnv); p != "" {
 		return p
 	}
 	return DefaultSettingsPath
@@ -136,11 +136,11 @@
 // HasDisk tells whether this process may keep state.
 func (s *Settings) HasDisk() bool { return s.DataDirectory != "" }
 
-// RopePort is the port for traffic between nodes, the same on all machines.
-func (s *Settings) RopePort() string { return strconv.Itoa(int(s.InternalPortRange[0])) }
+// InternalPort is the port for traffic between nodes, the same on all machines.
+func (s *Settings) InternalPort() string { return strconv.Itoa(int(s.InternalPortRange[0])) }
 
-// RopeAddr is where a node with that IP takes calls from other nodes.
-func (s *Settings) RopeAddr(ip string) string { return net.JoinHostPort(ip, s.RopePort()) }
+// InternalAddress is where a node with that IP takes calls from other nodes.
+func (s *Settings) InternalAddress(ip string) string { return net.JoinHostPort(ip, s.InternalPort()) }
 
 // SeedIPs lists the IPs of the seeds.
 func (s *Settings) SeedIPs() []string {
@@ -153,10 +153,10 @@
 	return out
 }
 
-// Ms turns a bound in milliseconds, times a ratio, into a duration.
-func Ms(bound, ratio float64) time.Duration {
+// Milliseconds turns a bound in milliseconds, times a ratio, into a duration.
+func Milliseconds(bound, ratio float64) time.Duration {
 	return time.Duration(bound * ratio * float64(time.Millisecond))
 }
 
-// Sec turns a bound in seconds, times a ratio, into a duration.
-func Sec(bound, ratio float64) time.Duration { return Ms(bound*1000, ratio) }
+// Seconds turns a bound in seconds, times a ratio, into a duration.
+func Seconds(bound, ratio float64) time.Duration { return Milliseconds(bound*1000, ratio) }
--- a/internal/config/signpost_test.go
+++ b/internal/config/signpost_test.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.HasDisk() || s.RopeAddr("10.9.9.9") != "10.9.9.9:7100" || len(s.SeedIPs()) != 2 || s.Bounds.RetryBudgetRatio != 0.25 {
+	if s.HasDisk() || s.InternalAddress("10.9.9.9") != "10.9.9.9:7100" || len(s.SeedIPs()) != 2 || s.Bounds.RetryBudgetRatio != 0.25 {
 		t.Fatalf("read wrongly: %v", s)
 	}
 	for name, change := range map[string][2]string{
@@ -113,23 +113,23 @@
 		t.Fatal(err)
 	}
 	c, err := ParseConfiguration(whole)
-	if err != nil || c.Version != 9 || len(c.Routes) != 2 || c.Routes[0].RouteKind != KindCached || c.Routes[1].Name != "new" || len(c.Services) != 2 || c.Limits.IdleTimeoutMs != 15000 {
+	if err != nil || c.Version != 9 || len(c.Routes) != 2 || c.Routes[0].RouteKind != RouteKindCached || c.Routes[1].Name != "new" || len(c.Services) != 2 || c.Limits.IdleTimeoutMs != 15000 {
 		t.Fatalf("%v %v", c, err)
 	}
-	d, ok := Between([]byte(good), whole)
-	if !ok || len(d.Gone["Routes"]) != 1 || len(d.Gone["Services"]) != 1 {
+	d, ok := Diff([]byte(good), whole)
+	if !ok || len(d.Removed["Routes"]) != 1 || len(d.Removed["Services"]) != 1 {
 		t.Fatalf("%+v", d)
 	}
-	was, _ := TakeConfiguration([]byte(good))
-	step, err := TakeConfiguration(d.Body)
+	was, _ := DecodeConfiguration([]byte(good))
+	step, err := DecodeConfiguration(d.Changes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := was.Follow(step, d.Gone)
+	got := was.ApplyDelta(step, d.Removed)
 	if got.Version != 9 || len(got.Routes) != 2 || len(got.Services) != 2 || got.Limits.IdleTimeoutMs != 15000 || got.Routes[0].CacheLifetimeS != 2.5 {
 		t.Fatalf("%v", got)
 	}
-	if _, ok := Between([]byte(`{"Routes":[{"Name":"x"},{"Name":"x"}]}`), whole); ok {
+	if _, ok := Diff([]byte(`{"Routes":[{"Name":"x"},{"Name":"x"}]}`), whole); ok {
 		t.Fatal("items without names of their own were told apart")
 	}
 	for name, raw := range map[string]string{
@@ -152,7 +152,7 @@
 			t.Fatal("a service that routes name was removed")
 		}
 	}
-	for raw, want := range map[string]PurgeOrder{
+	for raw, want := range map[string]PurgeRequest{
 		`{"HostName":"a.example","Path":"/x/1"}`: {HostName: "a.example", Path: "/x/1"},
 		`{"Tag":"t1","New":1}`:                   {Tag: "t1"},
 		`{}`:                                     {},
@@ -164,7 +164,7 @@
 		`nonsense`:                               {},
 		`{"HostName":"a.example","Path":"/x/1"} {"a":1}`: {},
 	} {
-		if got, err := ParsePurge([]byte(raw)); got != want || (err == nil) != (want != PurgeOrder{}) {
+		if got, err := ParsePurgeRequest([]byte(raw)); got != want || (err == nil) != (want != PurgeRequest{}) {
 			t.Errorf("%s: %+v %v", raw, got, err)
 		}
 	}
--- a/internal/endpoints/hutbook.go
+++ b/internal/endpoints/hutbook.go
@@ -14,8 +14,8 @@
 	Seq   int64
 }
 
-// Less tells whether s is older than o.
-func (s Stamp) Less(o Stamp) bool {
+// Before tells whether s is older than o.
+func (s Stamp) Before(o Stamp) bool {
 	if s.Epoch != o.Epoch {
 		return s.Epoch < o.Epoch
 	}
@@ -25,8 +25,8 @@
 	return s.Seq < o.Seq
 }
 
-// Searcher is one instance on the list.
-type Searcher struct {
+// Endpoint is one instance on the list.
+type Endpoint struct {
 	ID      string
 	Service string
 	Addr    string
@@ -45,7 +45,7 @@
 type Table struct {
 	Stamp     Stamp
 	NextEntry int64
-	Searchers []Searcher
+	Searchers []Endpoint
 	// First is the version that each service's searchers had when they were
 	// first listed; it is in force until an order moves the service.
 	First map[string]string `json:",omitempty"`
@@ -57,7 +57,7 @@
 type Delta struct {
 	From, To  Stamp
 	NextEntry int64
-	Set       []Searcher        `json:",omitempty"`
+	Set       []Endpoint        `json:",omitempty"`
 	Drains    []int64           `json:",omitempty"`
 	Warm      []int64           `json:",omitempty"`
 	Gone      []int64           `json:",omitempty"`
@@ -70,7 +70,7 @@
 		from = &Table{}
 	}
 	d := &Delta{From: from.Stamp, To: to.Stamp, NextEntry: to.NextEntry}
-	was := map[int64]Searcher{}
+	was := map[int64]Endpoint{}
 	for _, s := range from.Searchers {
 		was[s.Entry] = s
 	}
@@ -108,15 +108,15 @@
 	return d
 }
 
-// Follow gives the table after the delta, or nil where that does not fit.
-func (t *Table) Follow(d *Delta) *Table {
+// Apply gives the table after the delta, or nil where that does not fit.
+func (t *Table) Apply(d *Delta) *Table {
 	if t == nil {
 		t = &Table{}
 	}
 	if t.Stamp != d.From {
 		return nil
 	}
-	set := map[int64]Searcher{}
+	set := map[int64]Endpoint{}
 	for _, s := range d.Set {
 		set[s.Entry] = s
 	}
@@ -158,18 +158,18 @@
 	switch {
 	case a == nil:
 		return b
-	case b == nil || !a.Stamp.Less(b.Stamp):
+	case b == nil || !a.Stamp.Before(b.Stamp):
 		return a
 	}
 	return b
 }
 
-// Next makes the table that follows old once the list was read. Known
+// NextTable makes the table that follows old once the list was read. Known
 // searchers keep their entries, new ones get the next, in the order of their
 // names. changed tells whether anything but the stamp differs.
-func Next(old *Table, list []Searcher, stamp Stamp) (t *Table, changed bool) {
+func NextTable(old *Table, list []Endpoint, stamp Stamp) (t *Table, changed bool) {
 	t = &Table{Stamp: stamp, NextEntry: 1}
-	known := map[string]Searcher{}
+	known := map[string]Endpoint{}
 	if old != nil {
 		t.NextEntry = old.NextEntry
 		for _, s := range old.Searchers {
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -113,11 +113,11 @@
 		Distance: func(z string) int { return min(len(z), 2) }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 20,
 		KeepIdle: time.Minute, FailsOut: 3, OutFor: time.Second, Many: 5, FarPenalty: 9, Forget: time.Second,
 	})
-	var list []endpoints.Searcher
+	var list []endpoints.Endpoint
 	for i, a := range addrs {
-		list = append(list, endpoints.Searcher{ID: fmt.Sprint("i", i), Service: "s", Addr: a, Zone: zone(i), Slots: 4})
+		list = append(list, endpoints.Endpoint{ID: fmt.Sprint("i", i), Service: "s", Addr: a, Zone: zone(i), Slots: 4})
 	}
-	table, _ := endpoints.Next(nil, list, endpoints.Stamp{Epoch: 1})
+	table, _ := endpoints.NextTable(nil, list, endpoints.Stamp{Epoch: 1})
 	rng.SetTable(table)
 	born := time.Now()
 	guide := &scatter.Guide{Range: rng, Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5,
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -12,7 +12,7 @@
 // pause backs off for a random part of the time for an acknowledgement.
 func (h *hut) pause(try int) {
 	most := 0.008 * float64(min(try+1, 6))
-	time.Sleep(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
+	time.Sleep(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
 }
 
 // round runs one ballot on the slot after base, the state that own was made
@@ -63,7 +63,7 @@
 				if v.IP == h.n.set().IpAddress {
 					say, x.err = h.vote(m)
 				} else {
-					x.err = h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathCairn, m, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.n.call.Ask(h.n.set().InternalAddress(v.IP), pathCairn, m, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
 					x.say, x.err = h.hears(base, say)
@@ -127,7 +127,7 @@
 	for _, ip := range to {
 		go func() {
 			var say learnSay
-			addr := h.n.set().RopeAddr(ip)
+			addr := h.n.set().InternalAddress(ip)
 			err := h.n.call.Ask(addr, pathLearn, learnAsk{Slot: s.Slot, Ballot: b}, &say, h.n.heartbeat(1))
 			if err == nil && say.Slot < s.Slot {
 				say.Slot = h.teach(ip, say.Slot, h.n.heartbeat(1))
@@ -162,7 +162,7 @@
 				var say peekSay
 				if v.IP == h.n.set().IpAddress {
 					h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
-				} else if h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathPeek, struct{}{}, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
+				} else if h.n.call.Ask(h.n.set().InternalAddress(v.IP), pathPeek, struct{}{}, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
@@ -182,7 +182,7 @@
 		if known >= len(s.Voters)/2+1 && known > 0 {
 			// Whatever froze this node since it asked, the answer rests on a
 			// majority's word that is no older than this.
-			if !begun && !ahead && h.n.steady()-began < config.Ms(h.n.set().Bounds.AcknowledgeMs, readAge) {
+			if !begun && !ahead && h.n.steady()-began < config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, readAge) {
 				return s, true
 			}
 			h.round(s, nil)
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -88,7 +88,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.5)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
@@ -231,7 +231,7 @@
 			m.News = h.news(from)
 		})
 		var say learnSay
-		if h.n.call.Ask(h.n.set().RopeAddr(ip), pathLearn, m, &say, time.Until(until)) != nil {
+		if h.n.call.Ask(h.n.set().InternalAddress(ip), pathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
 		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -55,7 +55,7 @@
 		h.depot.Start(b.IP)
 		go h.handOver(b.IP, b.Slot)
 	}
-	if t := h.table; t != nil && b.Stamp.Less(t.Stamp) {
+	if t := h.table; t != nil && b.Stamp.Before(t.Stamp) {
 		h.bring(b.IP, b.Stamp)
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	now := h.n.steady()
 	for ip, o := range h.others {
-		if now-o.at < config.Ms(h.n.set().Bounds.InTouchMs, 1) {
+		if now-o.at < config.Milliseconds(h.n.set().Bounds.InTouchMs, 1) {
 			add(ip)
 		} else if !slices.Contains(out, ip) {
 			delete(h.others, ip)
@@ -130,7 +130,7 @@
 	for _, ip := range out {
 		go func() {
 			var say beat
-			if err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathBeat, b, &say, h.n.heartbeat(0.8)); err == nil {
+			if err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathBeat, b, &say, h.n.heartbeat(0.8)); err == nil {
 				h.desk.post(func() {
 					h.hear(say)
 					h.renewed(bid, say, sent)
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -65,7 +65,7 @@
 		return 0, false
 	}
 	now := t.n.steady()
-	if now-time.Duration(t.heardAt.Load()) > config.Sec(t.n.set().Bounds.CatchUpS, quietAt) {
+	if now-time.Duration(t.heardAt.Load()) > config.Seconds(t.n.set().Bounds.CatchUpS, quietAt) {
 		return 0, false
 	}
 	if t.larder {
@@ -124,7 +124,7 @@
 func (t *trail) askLarder(to consensus.Larder, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := larderAsk{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.pantry.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.n.steady()
-	rep, err := t.n.call.Call(t.n.set().RopeAddr(to.IP), "POST", pathLarder, nil, encode("larder", a), min(left, wait+max(w.Aim/2, t.n.heartbeat(0.2))))
+	rep, err := t.n.call.Call(t.n.set().InternalAddress(to.IP), "POST", pathLarder, nil, encode("larder", a), min(left, wait+max(w.Aim/2, t.n.heartbeat(0.2))))
 	if err != nil {
 		return frontend.Brought{}, err
 	}
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -61,9 +61,9 @@
 func (n *Node) deaf() time.Duration {
 	b := n.set().Bounds
 	if b.RollbackMs > 0 {
-		return config.Ms(b.RollbackMs, 0.4)
+		return config.Milliseconds(b.RollbackMs, 0.4)
 	}
-	return config.Ms(b.InTouchMs, 0.4)
+	return config.Milliseconds(b.InTouchMs, 0.4)
 }
 
 // exposure is what the settings allow a bad version.
@@ -230,7 +230,7 @@
 				to = t.picked[0]
 			}
 		})
-		if to == "" || t.n.call.Ask(t.n.set().RopeAddr(to), pathTally, m, nil, t.n.heartbeat(0.5)) != nil {
+		if to == "" || t.n.call.Ask(t.n.set().InternalAddress(to), pathTally, m, nil, t.n.heartbeat(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
 				t.scout.tally.Note(e.Cell, e.Sum)
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -103,7 +103,9 @@
 }
 
 // hearsayLasts is how long hearsay keeps requests away from a searcher.
-func (n *Node) hearsayLasts() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) hearsayLasts() time.Duration {
+	return config.Milliseconds(n.set().Bounds.InTouchMs, 0.5)
+}
 
 // hearsayLoop tells the hut watched first of searchers that did not answer.
 func (t *trail) hearsayLoop() {
@@ -125,7 +127,7 @@
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.n.call.Ask(t.n.set().RopeAddr(to), pathHearsay, hearsay{t.n.set().NodeName, dark}, nil, t.n.heartbeat(0.5))
+		_ = t.n.call.Ask(t.n.set().InternalAddress(to), pathHearsay, hearsay{t.n.set().NodeName, dark}, nil, t.n.heartbeat(0.5))
 		time.Sleep(t.n.heartbeat(0.2))
 	}
 }
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -68,7 +68,7 @@
 			ready++
 		}
 		held := n.trail.held.Load()
-		if held.version >= version && !held.stamp.Less(table) {
+		if held.version >= version && !held.stamp.Before(table) {
 			current++
 		}
 	}
@@ -80,7 +80,7 @@
 	for _, n := range h.nodes {
 		held := n.trail.held.Load()
 		version = max(version, held.version)
-		if table.Less(held.stamp) {
+		if table.Before(held.stamp) {
 			table = held.stamp
 		}
 	}
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -103,9 +103,9 @@
 
 func newHut(n *Node) (*hut, error) {
 	s := n.set()
-	slow, again := config.Ms(s.Bounds.AcknowledgeMs, 0.1), config.Ms(s.Bounds.AcknowledgeMs, 0.04)
+	slow, again := config.Milliseconds(s.Bounds.AcknowledgeMs, 0.1), config.Milliseconds(s.Bounds.AcknowledgeMs, 0.04)
 	cel, err := storage.Open(s.DataDirectory, slow, again)
-	until := time.Now().Add(config.Ms(s.Bounds.AcknowledgeMs, 2))
+	until := time.Now().Add(config.Milliseconds(s.Bounds.AcknowledgeMs, 2))
 	for err != nil && time.Now().Before(until) {
 		// A disk in trouble often comes back; ending and starting anew would be no better.
 		events.Log(events.DiskTrouble, "err", err)
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -396,7 +396,7 @@
 		}
 		self := consensus.Larder{Name: k.n.set().NodeName, IP: k.n.set().IpAddress, Zone: k.n.set().Zone}
 		for _, ip := range k.t.hutIPs() {
-			if k.n.call.Ask(k.n.set().RopeAddr(ip), pathEnlist, self, nil, config.Ms(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
+			if k.n.call.Ask(k.n.set().InternalAddress(ip), pathEnlist, self, nil, config.Milliseconds(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
 				events.Log(events.LarderListed, "by", ip)
 				break
 			}
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -81,7 +81,7 @@
 	if ip == h.n.set().IpAddress {
 		say, err = h.handleBid(bidAsk{Bid: b})
 	} else {
-		err = h.n.call.Ask(h.n.set().RopeAddr(ip), pathBid, bidAsk{Bid: b}, &say, h.n.heartbeat(0.8))
+		err = h.n.call.Ask(h.n.set().InternalAddress(ip), pathBid, bidAsk{Bid: b}, &say, h.n.heartbeat(0.8))
 	}
 	h.desk.post(func() {
 		delete(h.asked, id)
@@ -127,7 +127,7 @@
 		}
 		go func() {
 			var say bidSay
-			_ = h.n.call.Ask(h.n.set().RopeAddr(v.IP), pathBid, bidAsk{Bid: b, Release: true}, &say, h.n.heartbeat(0.8))
+			_ = h.n.call.Ask(h.n.set().InternalAddress(v.IP), pathBid, bidAsk{Bid: b, Release: true}, &say, h.n.heartbeat(0.8))
 		}()
 	}
 }
--- a/internal/lodge/lease_test.go
+++ b/internal/lodge/lease_test.go
@@ -26,7 +26,7 @@
 		n := w.nodes[name]
 		s := config.Settings{}
 		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
-		ln, ok := transport.Listen(s.RopeAddr(n.set().IpAddress), n.userTimeout(), n.heartbeat(0.1), n.stop)
+		ln, ok := transport.Listen(s.InternalAddress(n.set().IpAddress), n.userTimeout(), n.heartbeat(0.1), n.stop)
 		if !ok {
 			w.t.Fatal("a node does not listen")
 		}
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -54,7 +54,7 @@
 	case err != nil:
 		events.Log(events.SettingsKept, "err", err)
 		return
-	case s.IpAddress != old.IpAddress || s.RopePort() != old.RopePort() || s.HasDisk() != old.HasDisk():
+	case s.IpAddress != old.IpAddress || s.InternalPort() != old.InternalPort() || s.HasDisk() != old.HasDisk():
 		events.Log(events.SettingsKept, "err", "IpAddress, InternalPortRange and DataDirectory can't change while the node runs")
 		return
 	}
@@ -66,7 +66,7 @@
 // drain leaves in order, inside GraceS.
 func (n *Node) drain() {
 	start := time.Now()
-	grace := config.Sec(n.set().Bounds.GraceS, 1)
+	grace := config.Seconds(n.set().Bounds.GraceS, 1)
 	events.Log(events.Draining, "grace", grace)
 	n.leaving.Store(true)
 	if n.trail != nil {
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -15,7 +15,7 @@
 	w, s := start(t)
 	const fronts = 240
 	hut := w.nodes["1"].hut
-	to := w.nodes["1"].set().RopeAddr(w.ip(1))
+	to := w.nodes["1"].set().InternalAddress(w.ip(1))
 	var tables []*endpoints.Table
 	for round := 0; round < 2; round++ {
 		var wg sync.WaitGroup
@@ -40,7 +40,7 @@
 					t.Errorf("what came can't be read: %v", err)
 					return
 				}
-				tables[i] = (*endpoints.Table)(nil).Follow(d)
+				tables[i] = (*endpoints.Table)(nil).Apply(d)
 			}()
 		}
 		wg.Wait()
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -16,7 +16,7 @@
 // is who asks whom, and for how long.
 
 // longSilence is after how long a voter may lose its place.
-func (h *hut) longSilence() time.Duration { return config.Sec(h.n.set().Bounds.CatchUpS, 0.5) }
+func (h *hut) longSilence() time.Duration { return config.Seconds(h.n.set().Bounds.CatchUpS, 0.5) }
 
 // tick notes that this node runs; it runs on the desk.
 func (h *hut) tick() {
@@ -28,7 +28,7 @@
 // hearFronts remembers how many fronts another hut counts: a node that nobody
 // watches, or that is young, goes by it. It runs on the desk.
 func (h *hut) hearFronts(n int, now time.Duration) {
-	if now < config.Sec(h.n.set().Bounds.RetryWindowS, 1) {
+	if now < config.Seconds(h.n.set().Bounds.RetryWindowS, 1) {
 		h.before = max(h.before, n)
 	}
 	if n > h.frontsKept {
@@ -68,7 +68,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3)):
+	case <-time.After(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.3)):
 		err = errors.New("the disk takes too long")
 	}
 	return held, err
@@ -76,7 +76,7 @@
 
 // confirm sees to it that another hut has s, or something newer, on its disk.
 func (h *hut) confirm(ip string, s consensus.State, until time.Time) (held beat, ok bool) {
-	addr := h.n.set().RopeAddr(ip)
+	addr := h.n.set().InternalAddress(ip)
 	for try := 0; ; try++ {
 		within := min(h.n.heartbeat(0.6), time.Until(until))
 		if within <= 0 {
@@ -163,7 +163,7 @@
 	for _, ip := range ips {
 		go func() {
 			x := scouted{ip: ip}
-			if h.n.call.Ask(h.n.set().RopeAddr(ip), pathPeek, struct{}{}, &x.say, h.n.heartbeat(0.8)) != nil {
+			if h.n.call.Ask(h.n.set().InternalAddress(ip), pathPeek, struct{}{}, &x.say, h.n.heartbeat(0.8)) != nil {
 				in <- nil
 				return
 			}
@@ -204,7 +204,7 @@
 			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
 				continue
 			}
-			if h.n.call.Ask(h.n.set().RopeAddr(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.n.call.Ask(h.n.set().InternalAddress(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -238,7 +238,7 @@
 			asked++
 			go func() {
 				var say joinSay
-				err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.4))
+				err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.4))
 				events.Log(events.JoinAsked, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
@@ -283,7 +283,7 @@
 	for _, ip := range ips {
 		go func() {
 			var say membership.Say
-			if h.n.call.Ask(h.n.set().RopeAddr(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
+			if h.n.call.Ask(h.n.set().InternalAddress(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
 			}
@@ -315,7 +315,7 @@
 	if m.ID == "" || m.IP == "" {
 		return joinSay{}
 	}
-	until := time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.35))
+	until := time.Now().Add(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.35))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.state()
 		voters, v := h.canvass(m, s)
@@ -453,7 +453,7 @@
 					held++
 				}
 			}
-			young := h.n.steady() <= config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.75)
+			young := h.n.steady() <= config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.75)
 			enough = membership.Enough(len(s.Voters), leaving, h.standbys(), held, h.losses(), young)
 		})
 		if enough {
@@ -539,7 +539,7 @@
 				continue
 			}
 			p.Kept++
-			if !held.Stamp.Less(mine.Stamp) && held.Fronts >= mine.Fronts {
+			if !held.Stamp.Before(mine.Stamp) && held.Fronts >= mine.Fronts {
 				p.Tabled++
 			}
 			if need := min(p.Losses+1, p.Others); p.Kept >= need && p.Tabled >= need {
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -199,8 +199,8 @@
 	h.desk.ask(func() {
 		h.counted, h.frontsKept = 7, 7
 		stamp = endpoints.Stamp{Epoch: h.duty.Epoch + 5, By: h.acc.ID, Seq: 1}
-		list := []endpoints.Searcher{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
-		table, _ := endpoints.Next(h.table, list, stamp)
+		list := []endpoints.Endpoint{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
+		table, _ := endpoints.NextTable(h.table, list, stamp)
 		h.setTable(table)
 	})
 	n := w.nodes["3"]
@@ -252,7 +252,7 @@
 		if kept < 7 {
 			t.Errorf("hut %d: %d fronts", k, kept)
 		}
-		if at.Less(stamp) {
+		if at.Before(stamp) {
 			t.Errorf("hut %d: table %v", k, at)
 		}
 	}
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -46,14 +46,14 @@
 // steady is the node's steady clock.
 func (n *Node) steady() time.Duration { return time.Since(n.born) }
 
-func (n *Node) userTimeout() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) userTimeout() time.Duration { return config.Milliseconds(n.set().Bounds.InTouchMs, 0.5) }
 
 // longHold is how long a call for news may be held at most: one that was lost
 // ends before a machine counts as in touch again.
-func (n *Node) longHold() time.Duration { return config.Ms(n.set().Bounds.InTouchMs, 0.75) }
+func (n *Node) longHold() time.Duration { return config.Milliseconds(n.set().Bounds.InTouchMs, 0.75) }
 
 func (n *Node) heartbeat(ratio float64) time.Duration {
-	return config.Ms(n.set().HeartbeatIntervalMs, ratio)
+	return config.Milliseconds(n.set().HeartbeatIntervalMs, ratio)
 }
 
 // Run is the life of a node; it returns the process's exit code.
@@ -84,7 +84,7 @@
 func open(s *config.Settings, path string, options Options) (*Node, error) {
 	n := &Node{path: path, born: time.Now(), stop: make(chan struct{}), options: options}
 	n.settings.Store(s)
-	n.call = transport.NewClient(16, config.Ms(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
+	n.call = transport.NewClient(16, config.Milliseconds(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
 	n.view = newDesk()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
@@ -140,7 +140,7 @@
 
 func (n *Node) listener(idle time.Duration) transport.Listener {
 	return transport.Listener{
-		MaxHeader: 64 << 10, MaxBody: n.maxMessage(), ReadWithin: config.Ms(n.set().Bounds.InTouchMs, 2),
+		MaxHeader: 64 << 10, MaxBody: n.maxMessage(), ReadWithin: config.Milliseconds(n.set().Bounds.InTouchMs, 2),
 		IdleFor: idle, UserTimeout: n.userTimeout(),
 	}
 }
@@ -148,7 +148,7 @@
 // serve opens the port for other nodes and, where the role has it, control.
 func (n *Node) serve() bool {
 	s := n.set()
-	addrs := []string{s.RopeAddr(s.IpAddress)}
+	addrs := []string{s.InternalAddress(s.IpAddress)}
 	if slices.Contains(s.Serves, "control") {
 		addrs = append(addrs, s.ListenAddresses.ControlAddress)
 	}
@@ -161,7 +161,7 @@
 		if i > 0 {
 			handle = n.handleControl
 		}
-		transport.Serve(ln, n.listener(config.Ms(s.Bounds.InTouchMs, 2)), handle)
+		transport.Serve(ln, n.listener(config.Milliseconds(s.Bounds.InTouchMs, 2)), handle)
 		n.sockets = append(n.sockets, ln)
 	}
 	return true
@@ -296,7 +296,7 @@
 			continue
 		}
 		var got shuffle
-		if err := n.call.Ask(n.set().RopeAddr(partner.IP), pathShuffle, shuffle{offer}, &got, n.heartbeat(0.8)); err == nil {
+		if err := n.call.Ask(n.set().InternalAddress(partner.IP), pathShuffle, shuffle{offer}, &got, n.heartbeat(0.8)); err == nil {
 			n.view.ask(func() { n.way.Finish(partner, got.Nodes) })
 		}
 	}
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -23,12 +23,12 @@
 func (h *hut) readFor(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
 	ack := h.n.set().Bounds.AcknowledgeMs
 	for time.Now().Before(until) {
-		s, ok := h.read(min(config.Ms(ack, 0.6), time.Until(until)))
+		s, ok := h.read(min(config.Milliseconds(ack, 0.6), time.Until(until)))
 		if !ok {
 			break
 		}
 		at := time.Now()
-		if answer(s); time.Since(at) < config.Ms(ack, readStale) {
+		if answer(s); time.Since(at) < config.Milliseconds(ack, readStale) {
 			return
 		}
 		c.Response.Reset()
@@ -57,11 +57,11 @@
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
 	if len(c.Request.Header.Peek(headerPassed)) == 0 {
-		settleBy = time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.8))
+		settleBy = time.Now().Add(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.8))
 	}
 	status, text := h.take(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
 	if status == 200 {
-		h.held(h.state().Slot, min(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
+		h.held(h.state().Slot, min(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
 		transport.Answer(c, 200, map[string]int64{"Version": text.version})
 		return
 	}
@@ -171,5 +171,5 @@
 
 // readLocked is a read in the middle of settling an order, no longer than that may take.
 func (h *hut) readLocked(until time.Time) (consensus.State, bool) {
-	return h.read(min(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
+	return h.read(min(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
 }
--- a/internal/lodge/patience.go
+++ b/internal/lodge/patience.go
@@ -40,7 +40,7 @@
 
 // patience is how long the caller of a call with a body of that size waits.
 func patience(acknowledgeMs float64, size int) time.Duration {
-	return config.Ms(acknowledgeMs, min(patienceAtMost, patienceRatio+patienceBody*float64(size)/(64<<10)))
+	return config.Milliseconds(acknowledgeMs, min(patienceAtMost, patienceRatio+patienceBody*float64(size)/(64<<10)))
 }
 
 // patienceLeft is what is left of a caller's patience when its call arrives:
@@ -72,7 +72,7 @@
 // unsettled answers that a call can't be settled here and now: the caller may
 // send it again soon, to any node.
 func (n *Node) unsettled(c *app.RequestContext, why string) {
-	in := config.Ms(n.set().Bounds.AcknowledgeMs, 0.02)
+	in := config.Milliseconds(n.set().Bounds.AcknowledgeMs, 0.02)
 	c.Response.Header.Set("Retry-After", strconv.FormatFloat(in.Seconds(), 'f', 3, 64))
 	transport.Answer(c, 503, map[string]string{"Error": why})
 }
@@ -180,7 +180,7 @@
 	body := slices.Clone(c.Request.Body())
 	ips := slices.DeleteFunc(n.huts(), func(ip string) bool { return ip == n.set().IpAddress })
 	n.view.ask(func() {
-		ips = n.unheard.Last(ips, n.steady(), config.Ms(n.set().Bounds.InTouchMs, 1))
+		ips = n.unheard.Last(ips, n.steady(), config.Milliseconds(n.set().Bounds.InTouchMs, 1))
 	})
 	note := func(ip string, answered bool) {
 		n.view.post(func() { n.unheard.Note(ip, answered, n.steady()) })
@@ -201,7 +201,7 @@
 			hd["If-Match"] = match
 		}
 		go func() {
-			rep, err := n.call.Call(n.set().RopeAddr(ip), method, path, hd, body, left)
+			rep, err := n.call.Call(n.set().InternalAddress(ip), method, path, hd, body, left)
 			settled := err == nil && rep.Status < 500
 			note(ip, settled)
 			if !settled {
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -26,9 +26,9 @@
 		wait := h.n.heartbeat(0.2)
 		if holds {
 			// While fronts miss searchers, new ones are looked for more often.
-			wait = config.Ms(h.n.set().Bounds.DrainMs, 0.25)
+			wait = config.Milliseconds(h.n.set().Bounds.DrainMs, 0.25)
 			if silence {
-				wait = config.Ms(h.n.set().Bounds.DrainMs, 0.08)
+				wait = config.Milliseconds(h.n.set().Bounds.DrainMs, 0.08)
 			}
 			if h.caughtUp(epoch) {
 				h.poll(epoch)
@@ -58,7 +58,7 @@
 		}
 		from = held
 		for at, t := range h.tables {
-			if t.epoch == epoch && from.Less(t.stamp) && h.duty.Live(t.voter, h.n.steady()) {
+			if t.epoch == epoch && from.Before(t.stamp) && h.duty.Live(t.voter, h.n.steady()) {
 				ip, id, from = at, t.voter, t.stamp
 			}
 		}
@@ -67,7 +67,7 @@
 		return true
 	}
 	var say fetchSay
-	err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathFetch, fetchAsk{held}, &say, h.n.heartbeat(0.8))
+	err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathFetch, fetchAsk{held}, &say, h.n.heartbeat(0.8))
 	var d *endpoints.Delta
 	if err == nil {
 		d, err = unpackDelta(say.Delta, h.n.maxMessage())
@@ -78,7 +78,7 @@
 	}
 	now := held
 	h.desk.ask(func() { now = h.takeDelta(d) })
-	return !now.Less(from)
+	return !now.Before(from)
 }
 
 // poll reads the list whole and merges it under this node's epoch. A list
@@ -98,7 +98,7 @@
 		if h.table != nil && h.table.Stamp.Epoch == stamp.Epoch && h.table.Stamp.By == stamp.By {
 			stamp.Seq = h.table.Stamp.Seq + 1
 		}
-		t, changed := endpoints.Next(h.table, list, stamp)
+		t, changed := endpoints.NextTable(h.table, list, stamp)
 		if !changed {
 			return
 		}
@@ -117,7 +117,7 @@
 // merge takes a table of another hut; it runs on the desk.
 func (h *hut) merge(t *endpoints.Table) {
 	if t.Stamp.Epoch < h.duty.Epoch && h.table != nil {
-		if t.Stamp.Less(h.table.Stamp) {
+		if t.Stamp.Before(h.table.Stamp) {
 			events.Log(events.TableOld, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
 			return
 		}
@@ -129,11 +129,11 @@
 }
 
 // list reads all pages of the platform's list.
-func (h *hut) list() ([]endpoints.Searcher, error) {
-	var out []endpoints.Searcher
+func (h *hut) list() ([]endpoints.Endpoint, error) {
+	var out []endpoints.Endpoint
 	token := ""
 	seen := map[string]bool{}
-	within := config.Ms(h.n.set().Bounds.DrainMs, 0.25)
+	within := config.Milliseconds(h.n.set().Bounds.DrainMs, 0.25)
 	for page := 0; page < 1000; page++ {
 		path := "/instances"
 		if token != "" {
@@ -155,7 +155,7 @@
 				continue
 			}
 			seen[i.InstanceID] = true
-			out = append(out, endpoints.Searcher{
+			out = append(out, endpoints.Endpoint{
 				ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Version: i.Version, Slots: i.Slots,
 				Drains: i.State != "ready", Cold: i.ColdRemainingMs > 0,
 			})
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -27,9 +27,9 @@
 func (n *Node) purgeMs(ratio float64) time.Duration {
 	b := n.set().Bounds
 	if b.PurgeMs > 0 {
-		return config.Ms(b.PurgeMs, ratio)
+		return config.Milliseconds(b.PurgeMs, ratio)
 	}
-	return config.Ms(b.ConfigEffectMs, ratio)
+	return config.Milliseconds(b.ConfigEffectMs, ratio)
 }
 
 // handlePurge takes the operator's purge: agreed by a majority, then
@@ -41,7 +41,7 @@
 		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
-	o, err := config.ParsePurge(c.Request.Body())
+	o, err := config.ParsePurgeRequest(c.Request.Body())
 	if err != nil {
 		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
 		return
@@ -184,7 +184,7 @@
 	var gone map[string]bool
 	h.desk.ask(func() {
 		now := h.n.steady()
-		long := config.Sec(h.n.set().Bounds.CatchUpS, 1)
+		long := config.Seconds(h.n.set().Bounds.CatchUpS, 1)
 		for _, l := range h.acc.State.Larders {
 			at := h.keepers[l.IP]
 			for _, f := range h.fronts {
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -165,7 +165,7 @@
 	})
 	select {
 	case <-w.done:
-	case <-time.After(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.5)):
 	case <-h.n.stop:
 	}
 	h.desk.ask(func() {
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -172,7 +172,7 @@
 		})
 		if send != nil && to != "" {
 			go func() {
-				_ = h.n.call.Ask(h.n.set().RopeAddr(to), pathLedger, *send, nil, h.n.heartbeat(0.5))
+				_ = h.n.call.Ask(h.n.set().InternalAddress(to), pathLedger, *send, nil, h.n.heartbeat(0.5))
 			}()
 		}
 		for _, r := range steps {
@@ -223,7 +223,7 @@
 		}
 		f := rollout.Facts{
 			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.known[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
-			Behind: lag[r.N], Report: h.n.heartbeat(0.6), Settle: config.Ms(h.n.set().Bounds.ConfigEffectMs, 0.5),
+			Behind: lag[r.N], Report: h.n.heartbeat(0.6), Settle: config.Milliseconds(h.n.set().Bounds.ConfigEffectMs, 0.5),
 		}
 		for _, b := range c.behind {
 			if now-b.at < h.n.heartbeat(1) {
@@ -265,7 +265,7 @@
 		return
 	}
 	defer h.proposing.Unlock()
-	until := time.Now().Add(config.Ms(h.n.set().Bounds.AcknowledgeMs, 0.3))
+	until := time.Now().Add(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.3))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.state()
 		now, ok := s.Rollout(r.Service)
@@ -311,7 +311,7 @@
 		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
-	o, err := config.ParseRollout(c.Request.Body())
+	o, err := config.ParseRolloutRequest(c.Request.Body())
 	if err != nil {
 		events.Log(events.RolloutRefused, "why", err)
 		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
@@ -394,12 +394,12 @@
 	}
 	at := time.Duration(0)
 	h.desk.ask(func() { at = h.course.ordered[slot] })
-	return h.n.steady()-at < config.Ms(h.n.set().Bounds.AcknowledgeMs, lateOrder)
+	return h.n.steady()-at < config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, lateOrder)
 }
 
 // serves tells whether the configuration in force names a service.
 func serves(s consensus.State, service string) bool {
-	c, err := config.TakeConfiguration([]byte(s.Body))
+	c, err := config.DecodeConfiguration([]byte(s.Body))
 	return err == nil && slices.ContainsFunc(c.Services, func(x *config.Service) bool { return x.Name == service })
 }
 
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -33,9 +33,9 @@
 func (h *hut) bring(ip string, held endpoints.Stamp) {
 	stamp, d, whole := h.table.Stamp, h.delta(held), h.delta(endpoints.Stamp{})
 	go func() {
-		addr, within := h.n.set().RopeAddr(ip), h.n.heartbeat(0.8)
+		addr, within := h.n.set().InternalAddress(ip), h.n.heartbeat(0.8)
 		var say tableSay
-		if err := h.n.call.Ask(addr, pathTable, tableAsk{d}, &say, within); err == nil && say.Stamp.Less(stamp) {
+		if err := h.n.call.Ask(addr, pathTable, tableAsk{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
 			_ = h.n.call.Ask(addr, pathTable, tableAsk{whole}, &say, within)
 		}
 	}()
@@ -48,7 +48,7 @@
 	if d.From == (endpoints.Stamp{}) {
 		from = nil
 	}
-	if t := from.Follow(d); t != nil {
+	if t := from.Apply(d); t != nil {
 		h.merge(t)
 	}
 	if h.table == nil {
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -166,21 +166,21 @@
 		return nil, err
 	}
 	t := &trail{n: n, opt: opt, desk: newDesk(), pool: pool, maps: map[int64]*routing.Map{}, watched: map[string]bool{}, bad: map[string]time.Duration{}, counts: map[string]upstream.Fronts{}, missed: make(chan struct{}, 1)}
-	t.def = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Ms(b.InTouchMs, 1), Idle: config.Ms(b.InTouchMs, 3)}
+	t.def = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), Idle: config.Milliseconds(b.InTouchMs, 3)}
 	t.rng = upstream.New(upstream.Options{
-		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Ms(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
-		KeepIdle: config.Ms(b.InTouchMs, 1), Settle: config.Ms(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Ms(b.InTouchMs, 0.2),
-		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Ms(b.InTouchMs, 0.75),
+		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
+		KeepIdle: config.Milliseconds(b.InTouchMs, 1), Settle: config.Milliseconds(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Milliseconds(b.InTouchMs, 0.2),
+		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Milliseconds(b.InTouchMs, 0.75),
 	})
 	t.ledger = ratelimit.New(ratelimit.Rules{
-		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Sec(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
+		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
 	}, n.steady())
 	guide := &scatter.Guide{Range: t.rng, Ledger: t.ledger, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
 	t.head = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
 	if opt.Saddle {
 		t.choice = relay.NewChoice(n.heartbeat(1))
 		t.head.SetAcross(t.choice, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
-			err := n.call.Ask(n.set().RopeAddr(ip), pathSaddle, ask, say, within)
+			err := n.call.Ask(n.set().InternalAddress(ip), pathSaddle, ask, say, within)
 			if err != nil {
 				// Others may do better.
 				t.rosterAt.Store(0)
@@ -203,7 +203,7 @@
 		t.kitchen = newKitchen(n, t, int(memory*opt.Shelf/4))
 	}
 	t.board = shardmap.New(shardmap.Options{
-		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Ms(b.ConfigEffectMs, opt.SwitchWait),
+		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
 	})
 	t.held.Store(&holds{slot: -1, purge: -1, rolled: -1})
 	t.rng.Full = func(id string) {
@@ -328,7 +328,7 @@
 			First: first, Larder: t.larder, Roster: first && t.rosterDue(), Hello: !t.placed.Load(), Heard: t.heard.Load(),
 		}
 		var say watchSay
-		err := n.call.Ask(n.set().RopeAddr(ip), pathWatch, ask, &say, hold+n.heartbeat(0.8))
+		err := n.call.Ask(n.set().InternalAddress(ip), pathWatch, ask, &say, hold+n.heartbeat(0.8))
 		if err != nil {
 			fails++
 			hold = n.heartbeat(1)
@@ -361,7 +361,7 @@
 			}
 			continue
 		}
-		behind := func() bool { return t.held.Load().stamp.Less(say.Stamp) }
+		behind := func() bool { return t.held.Load().stamp.Before(say.Stamp) }
 		late := func() bool { return t.held.Load().version < say.Version }
 		if !first && (behind() || late()) {
 			// The hut watched first brings it cheaper, if it is there.
@@ -449,12 +449,12 @@
 	if !t.larder {
 		t.rng.SetShare(most)
 	}
-	if d != nil && (t.table == nil || t.table.Stamp.Less(d.To)) {
+	if d != nil && (t.table == nil || t.table.Stamp.Before(d.To)) {
 		from := t.table
 		if d.From == (endpoints.Stamp{}) {
 			from = nil
 		}
-		if table := from.Follow(d); table != nil {
+		if table := from.Apply(d); table != nil {
 			t.setTable(table)
 		}
 	}
@@ -495,7 +495,7 @@
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.n.call.Call(t.n.set().RopeAddr(ip), "POST", pathVersion, nil, encode("version", ask), config.Ms(t.n.set().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.n.call.Call(t.n.set().InternalAddress(ip), "POST", pathVersion, nil, encode("version", ask), config.Milliseconds(t.n.set().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
@@ -509,7 +509,7 @@
 		if have == nil || have.Version != say.From {
 			return
 		}
-		c = have.Follow(c, say.Gone)
+		c = have.ApplyDelta(c, say.Gone)
 	}
 	if err != nil || c.Version != say.Version {
 		events.Log(events.MessageRefused, "from", ip, "version", say.Version, "err", err)
@@ -525,7 +525,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.TakeConfiguration(raw)
+	return config.DecodeConfiguration(raw)
 }
 
 // take puts decided state in its place; it runs on the desk. A node never
@@ -633,7 +633,7 @@
 		t.desk.ask(func() {
 			t.tick()
 			if t.board.Next != nil {
-				wait = config.Ms(t.n.set().Bounds.ConfigEffectMs, 0.02)
+				wait = config.Milliseconds(t.n.set().Bounds.ConfigEffectMs, 0.02)
 			}
 		})
 		t.rng.Sweep(time.Now())
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -113,7 +113,7 @@
 	}
 	if h.table != nil {
 		say.Stamp = h.table.Stamp
-		if m.Stamp.Less(h.table.Stamp) {
+		if m.Stamp.Before(h.table.Stamp) {
 			news = true
 			if !m.Brief && !m.Hello {
 				say.Delta = h.delta(m.Stamp)
@@ -152,7 +152,7 @@
 // askRoll brings the roll of another hut.
 func (h *hut) askRoll(ip string) {
 	var r roll
-	err := h.n.call.Ask(h.n.set().RopeAddr(ip), pathRoll, struct{}{}, &r, h.n.heartbeat(0.8))
+	err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathRoll, struct{}{}, &r, h.n.heartbeat(0.8))
 	h.desk.post(func() {
 		if err != nil {
 			r = h.rolls[ip].roll
@@ -168,7 +168,7 @@
 func (h *hut) roster(now time.Duration, but string) []relay.Front {
 	all := h.roll().Fronts
 	for ip, r := range h.rolls {
-		if now-h.others[ip].at < config.Ms(h.n.set().Bounds.InTouchMs, 1) {
+		if now-h.others[ip].at < config.Milliseconds(h.n.set().Bounds.InTouchMs, 1) {
 			all = append(all, r.Fronts...)
 		}
 	}
@@ -205,7 +205,7 @@
 // in its life before: after a loss of everything the fronts must not think
 // that each of them is alone. It runs on the desk.
 func (h *hut) countFronts(now time.Duration) int {
-	window := config.Sec(h.n.set().Bounds.RetryWindowS, 1)
+	window := config.Seconds(h.n.set().Bounds.RetryWindowS, 1)
 	if h.countedAt > 0 && now-h.countedAt < h.n.heartbeat(0.1) && len(h.fronts) > few {
 		// Many ask at once, and each would count them all.
 		return h.counted
@@ -294,8 +294,8 @@
 			if b.Version != m.Version {
 				continue
 			}
-			if d, ok := config.Between([]byte(b.Body), raw); ok {
-				p.say.From, p.say.Gone, raw = m.Version, d.Gone, d.Body
+			if d, ok := config.Diff([]byte(b.Body), raw); ok {
+				p.say.From, p.say.Gone, raw = m.Version, d.Removed, d.Changes
 			}
 		}
 		p.body = pack(raw)
--- a/internal/routing/fork.go
+++ b/internal/routing/fork.go
@@ -58,10 +58,10 @@
 			m.Limits.Body = int(l.BodySizeBytes)
 		}
 		if l.HeaderTimeoutMs > 0 {
-			m.Limits.HeaderTimeout = config.Ms(l.HeaderTimeoutMs, 1)
+			m.Limits.HeaderTimeout = config.Milliseconds(l.HeaderTimeoutMs, 1)
 		}
 		if l.IdleTimeoutMs > 0 {
-			m.Limits.Idle = config.Ms(l.IdleTimeoutMs, 1)
+			m.Limits.Idle = config.Milliseconds(l.IdleTimeoutMs, 1)
 		}
 	}
 	for _, s := range c.Services {
@@ -69,9 +69,9 @@
 	}
 	for _, r := range c.Routes {
 		x := &Route{
-			Name: r.Name, Prefix: r.PathPrefix, Safe: r.RouteKind != config.KindUnsafe, Cached: r.RouteKind == config.KindCached,
-			Lifetime: config.Sec(r.CacheLifetimeS, 1),
-			Timeout:  config.Ms(r.TimeoutMs, 1), Target: config.Ms(r.TargetLatencyMs, 1),
+			Name: r.Name, Prefix: r.PathPrefix, Safe: r.RouteKind != config.RouteKindUnsafe, Cached: r.RouteKind == config.RouteKindCached,
+			Lifetime: config.Seconds(r.CacheLifetimeS, 1),
+			Timeout:  config.Milliseconds(r.TimeoutMs, 1), Target: config.Milliseconds(r.TargetLatencyMs, 1),
 			Attempts: max(1, int(r.Attempts)), Priority: int(r.Priority),
 			Gathered: r.GatheredServices, Top: int(r.TopRecords), Share: r.MinimumShare,
 		}
--- a/internal/shardmap/switchback.go
+++ b/internal/shardmap/switchback.go
@@ -64,7 +64,7 @@
 	// versions lists, for a service, the versions of its searchers that may
 	// hold slots, the one in force first; services it lacks make no difference.
 	versions map[string][]string
-	listed   map[string][]endpoints.Searcher
+	listed   map[string][]endpoints.Endpoint
 	full     map[string]bool
 	// silent searchers lost their slots; they stand last in line until they answer.
 	silent map[string]time.Duration
@@ -79,7 +79,7 @@
 
 // New makes a board without a current cut.
 func New(o Options) *Board {
-	return &Board{opt: o, slots: map[hold][]Slot{}, listed: map[string][]endpoints.Searcher{}, full: map[string]bool{}, silent: map[string]time.Duration{}}
+	return &Board{opt: o, slots: map[hold][]Slot{}, listed: map[string][]endpoints.Endpoint{}, full: map[string]bool{}, silent: map[string]time.Duration{}}
 }
 
 // Built takes a chosen version with its cut; age is how long ago it was
@@ -111,7 +111,7 @@
 // Listed takes the platform's table.
 func (b *Board) Listed(t *endpoints.Table, now time.Duration) {
 	b.settled = false
-	b.listed = map[string][]endpoints.Searcher{}
+	b.listed = map[string][]endpoints.Endpoint{}
 	alive := map[string]bool{}
 	for _, s := range t.Searchers {
 		b.listed[s.Service] = append(b.listed[s.Service], s)
@@ -291,7 +291,7 @@
 	}
 	for at := range holds {
 		shard := at.shard
-		usable := map[string]endpoints.Searcher{}
+		usable := map[string]endpoints.Endpoint{}
 		for _, s := range b.listed[shard] {
 			if !s.Drains && (at.version == "" || s.Version == at.version) {
 				usable[s.ID] = s
@@ -315,7 +315,7 @@
 			keep = append(keep, sl)
 			held[sl.Searcher] = true
 		}
-		var line []endpoints.Searcher
+		var line []endpoints.Endpoint
 		for id, s := range usable {
 			if !held[id] {
 				line = append(line, s)
--- a/internal/shardmap/trace_test.go
+++ b/internal/shardmap/trace_test.go
@@ -20,7 +20,7 @@
 	now := time.Duration(ms) * time.Millisecond
 	switch f[1] {
 	case "list": // list SHARD[@VERSION]:ID,ID! SHARD:... (! drains, * is cold)
-		var l []endpoints.Searcher
+		var l []endpoints.Endpoint
 		for _, g := range f[2:] {
 			shard, ids, _ := strings.Cut(g, ":")
 			shard, version, _ := strings.Cut(shard, "@")
@@ -28,10 +28,10 @@
 				if id == "" {
 					continue
 				}
-				l = append(l, endpoints.Searcher{ID: strings.TrimRight(id, "!*"), Service: shard, Version: version, Drains: strings.HasSuffix(id, "!"), Cold: strings.HasSuffix(id, "*")})
+				l = append(l, endpoints.Endpoint{ID: strings.TrimRight(id, "!*"), Service: shard, Version: version, Drains: strings.HasSuffix(id, "!"), Cold: strings.HasSuffix(id, "*")})
 			}
 		}
-		*table, _ = endpoints.Next(*table, l, endpoints.Stamp{Epoch: 1, Seq: int64(ms) + 1})
+		*table, _ = endpoints.NextTable(*table, l, endpoints.Stamp{Epoch: 1, Seq: int64(ms) + 1})
 		b.Listed(*table, now)
 	case "built": // built VERSION SHARDS AGE at-once|waits
 		v, _ := strconv.ParseInt(f[2], 10, 64)
--- a/internal/upstream/garble_test.go
+++ b/internal/upstream/garble_test.go
@@ -95,7 +95,7 @@
 	} {
 		addr, conns := garbler(t, []string{strings.Replace(whole, c.old, c.new, 1), whole, whole})
 		g := New(Options{Distance: func(string) int { return 0 }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 16, KeepIdle: time.Second, Many: 5, FailsOut: 3, OutFor: time.Second, Forget: time.Second})
-		table, _ := endpoints.Next(nil, []endpoints.Searcher{{ID: "i", Service: "s", Addr: addr, Slots: 2}}, endpoints.Stamp{Epoch: 1})
+		table, _ := endpoints.NextTable(nil, []endpoints.Endpoint{{ID: "i", Service: "s", Addr: addr, Slots: 2}}, endpoints.Stamp{Epoch: 1})
 		g.SetTable(table)
 		req, err := NewRequest("GET", "/a", []byte(lines), nil)
 		if err != nil {
@@ -142,7 +142,7 @@
 	}
 	addr, conns := garbler(t, []string{noID("one1") + "late:" + noID("old1"), noID("two2"), noID("thr3"), noID("fou4"), noID("fiv5")})
 	g := New(Options{Distance: func(string) int { return 0 }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 16, KeepIdle: time.Second, Settle: 80 * time.Millisecond, Many: 5, FailsOut: 3, OutFor: time.Second, Forget: 50 * time.Millisecond})
-	table, _ := endpoints.Next(nil, []endpoints.Searcher{{ID: "i", Service: "s", Addr: addr, Slots: 2}}, endpoints.Stamp{Epoch: 1})
+	table, _ := endpoints.NextTable(nil, []endpoints.Endpoint{{ID: "i", Service: "s", Addr: addr, Slots: 2}}, endpoints.Stamp{Epoch: 1})
 	g.SetTable(table)
 	for i, want := range []string{"one1", "two2", "thr3", "fou4", "fiv5"} {
 		p, start := g.Choose(Among{Service: "s"}, nil, time.Second, false)
--- a/internal/upstream/reach_test.go
+++ b/internal/upstream/reach_test.go
@@ -12,13 +12,13 @@
 func zoneOf(i int) int { return i % 6 }
 
 func fleet(n, limit, shards int, seen func(i int) Fronts) []*Range {
-	var l []endpoints.Searcher
+	var l []endpoints.Endpoint
 	for s := 0; s < shards; s++ {
 		for z := 0; z < 6; z++ {
-			l = append(l, endpoints.Searcher{ID: fmt.Sprintf("i-%d-%d", s, z), Service: fmt.Sprintf("s%d", s), Zone: fmt.Sprint(z), Slots: 2})
+			l = append(l, endpoints.Endpoint{ID: fmt.Sprintf("i-%d-%d", s, z), Service: fmt.Sprintf("s%d", s), Zone: fmt.Sprint(z), Slots: 2})
 		}
 	}
-	table, _ := endpoints.Next(nil, l, endpoints.Stamp{Epoch: 1})
+	table, _ := endpoints.NextTable(nil, l, endpoints.Stamp{Epoch: 1})
 	var out []*Range
 	for i := 0; i < n; i++ {
 		own := zoneOf(i)
--- a/internal/upstream/traverse.go
+++ b/internal/upstream/traverse.go
@@ -101,7 +101,7 @@
 
 // Peer is one searcher as this node sees it.
 type Peer struct {
-	endpoints.Searcher
+	endpoints.Endpoint
 	far int
 	// draw ranks the searchers, differently for every node.
 	draw uint64
@@ -212,7 +212,7 @@
 		seen[s.ID] = true
 		p := g.peers[s.ID]
 		if p == nil {
-			p = &Peer{Searcher: s, far: g.opt.Distance(s.Zone), draw: Draw(g.opt.Self + " " + s.ID)}
+			p = &Peer{Endpoint: s, far: g.opt.Distance(s.Zone), draw: Draw(g.opt.Self + " " + s.ID)}
 			g.peers[s.ID] = p
 		}
 		// The rest never changes in one life, and is read without the lock.
