--- a/cmd/swiftswitch/main.go
+++ b/cmd/swiftswitch/main.go
@@ -161,8 +161,8 @@
 }
 
 // callNode sends one of the operator's calls; only 200 is a success.
-func callNode(node, method, path string, hd map[string]string, body []byte, within time.Duration) (transport.Reply, error) {
-	rep, err := transport.NewClient(1, within, within, 64<<20).Call(node, method, path, hd, body, within)
+func callNode(node, method, path string, hd map[string]string, body []byte, within time.Duration) (transport.Response, error) {
+	rep, err := transport.NewClient(1, within, within, 64<<20).Do(node, method, path, hd, body, within)
 	if err != nil {
 		return rep, exit{exitRemote, fmt.Errorf("%s can't be reached: %w; try another node", node, err)}
 	}
@@ -180,7 +180,7 @@
 	c.PersistentFlags().StringVar(&node, "node", "", "address of any node (host:port of control or of the port between nodes)")
 	c.PersistentFlags().DurationVar(&within, "within", 10*time.Second, "how long to wait")
 	_ = c.MarkPersistentFlagRequired("node")
-	call := func(method string, hd map[string]string, body []byte) (transport.Reply, error) {
+	call := func(method string, hd map[string]string, body []byte) (transport.Response, error) {
 		return callNode(node, method, "/-/configuration", hd, body, within)
 	}
 	c.AddCommand(&cobra.Command{Use: "get", Short: "Print the newest configuration", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -327,9 +327,9 @@
 			}
 			found = true
 			if md {
-				fmt.Printf("| E%d | %s | %s | %s |\n", e.Event, e.Name, e.Level, e.Means)
+				fmt.Printf("| E%d | %s | %s | %s |\n", e.Event, e.Name, e.Level, e.Description)
 			} else {
-				fmt.Printf("E%d %-18s %-5s %s\n", e.Event, e.Name, e.Level, e.Means)
+				fmt.Printf("E%d %-18s %-5s %s\n", e.Event, e.Name, e.Level, e.Description)
 			}
 		}
 		if !found {
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -133,7 +133,7 @@
 		t.Fatal("no listener")
 	}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
-	srv := transport.Serve(ln, transport.Listener{MaxHeader: 1 << 14, MaxBody: 1 << 22, UserTimeout: time.Second, Limits: limits}, h.Handle)
+	srv := transport.Serve(ln, transport.ServerOptions{MaxHeaderBytes: 1 << 14, MaxBodyBytes: 1 << 22, TCPUserTimeout: time.Second, Timeouts: limits}, h.Handle)
 	t.Cleanup(func() { srv.Close(); ln.Close(); pool.Release() })
 	return ln.Addr().String(), h
 }
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -242,7 +242,7 @@
 	hd := &v.c.Request.Header
 	req, err := upstream.NewRequest(string(hd.Method()), string(hd.RequestURI()), hd.RawHeaders(), v.c.Request.Body())
 	if err != nil || !hd.IsHTTP11() {
-		events.Log(events.RequestRefused, "err", err)
+		events.Log(events.RequestRejected, "err", err)
 		v.last = true
 		return h.refuse(v, 400, "malformed request")
 	}
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -46,7 +46,7 @@
 		if v := m.Value; v != nil && v.Body != "" {
 			packed, err := packOn(base.Body, v.Body)
 			if err != nil {
-				events.Log(events.InvariantBroken, "pack", err)
+				events.Log(events.InvariantViolated, "pack", err)
 				panic(err)
 			}
 			m.Value, m.Packed = bare(v, packed), packed
@@ -63,7 +63,7 @@
 				if v.IP == h.n.set().IpAddress {
 					say, x.err = h.vote(m)
 				} else {
-					x.err = h.n.call.Ask(h.n.set().InternalAddress(v.IP), pathCairn, m, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.n.call.CallJSON(h.n.set().InternalAddress(v.IP), pathCairn, m, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
 					x.say, x.err = h.hears(base, say)
@@ -93,7 +93,7 @@
 		return true
 	}
 	h.desk.ask(func() { h.highest = max(h.highest, p.Higher.N) })
-	events.Log(events.ProposalLost, "slot", base.Slot+1, "ballot", b.N)
+	events.Log(events.ProposalPreempted, "slot", base.Slot+1, "ballot", b.N)
 	return false
 }
 
@@ -114,7 +114,7 @@
 		if now != (consensus.Ballot{}) && now == seen && !h.apart() && h.proposing.TryLock() {
 			done := h.round(s, nil)
 			h.proposing.Unlock()
-			events.Log(events.Finished, "slot", s.Slot+1, "done", done)
+			events.Log(events.SlotRecovered, "slot", s.Slot+1, "done", done)
 		}
 		seen = now
 	}
@@ -128,7 +128,7 @@
 		go func() {
 			var say learnSay
 			addr := h.n.set().InternalAddress(ip)
-			err := h.n.call.Ask(addr, pathLearn, learnAsk{Slot: s.Slot, Ballot: b}, &say, h.n.heartbeat(1))
+			err := h.n.call.CallJSON(addr, pathLearn, learnAsk{Slot: s.Slot, Ballot: b}, &say, h.n.heartbeat(1))
 			if err == nil && say.Slot < s.Slot {
 				say.Slot = h.teach(ip, say.Slot, h.n.heartbeat(1))
 			}
@@ -162,7 +162,7 @@
 				var say peekSay
 				if v.IP == h.n.set().IpAddress {
 					h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
-				} else if h.n.call.Ask(h.n.set().InternalAddress(v.IP), pathPeek, struct{}{}, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
+				} else if h.n.call.CallJSON(h.n.set().InternalAddress(v.IP), pathPeek, struct{}{}, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -137,7 +137,7 @@
 		}
 		packed, err := packOn(base, n.Body)
 		if err != nil {
-			events.Log(events.InvariantBroken, "pack", err)
+			events.Log(events.InvariantViolated, "pack", err)
 			panic(err)
 		}
 		n.Body, n.Packed = "", packed
@@ -185,7 +185,7 @@
 		return h.bodies[at].Body, true
 	}, h.n.maxMessage())
 	if err != nil {
-		events.Log(events.MessageRefused, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
+		events.Log(events.MessageRejected, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
 		return false
 	}
 	s, ok := h.acc.State.Follow(whole)
@@ -213,7 +213,7 @@
 			h.learn(h.acc.State.Apply(*h.acc.Value), "accepted")
 		}
 	})
-	transport.Answer(c, 200, learnSay{h.kept()})
+	transport.WriteJSON(c, 200, learnSay{h.kept()})
 }
 
 // teach brings another hut up to what this one knows, and gives the slot up
@@ -231,11 +231,11 @@
 			m.News = h.news(from)
 		})
 		var say learnSay
-		if h.n.call.Ask(h.n.set().InternalAddress(ip), pathLearn, m, &say, time.Until(until)) != nil {
+		if h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
 		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
-			events.Log(events.HandedOver, "to", ip, "slot", say.Slot)
+			events.Log(events.HintsDelivered, "to", ip, "slot", say.Slot)
 			return say.Slot
 		}
 	}
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -130,7 +130,7 @@
 	for _, ip := range out {
 		go func() {
 			var say beat
-			if err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathBeat, b, &say, h.n.heartbeat(0.8)); err == nil {
+			if err := h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathBeat, b, &say, h.n.heartbeat(0.8)); err == nil {
 				h.desk.post(func() {
 					h.hear(say)
 					h.renewed(bid, say, sent)
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -124,7 +124,7 @@
 func (t *trail) askLarder(to consensus.Larder, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := larderAsk{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.pantry.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.n.steady()
-	rep, err := t.n.call.Call(t.n.set().InternalAddress(to.IP), "POST", pathLarder, nil, encode("larder", a), min(left, wait+max(w.Aim/2, t.n.heartbeat(0.2))))
+	rep, err := t.n.call.Do(t.n.set().InternalAddress(to.IP), "POST", pathLarder, nil, encode("larder", a), min(left, wait+max(w.Aim/2, t.n.heartbeat(0.2))))
 	if err != nil {
 		return frontend.Brought{}, err
 	}
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -230,7 +230,7 @@
 				to = t.picked[0]
 			}
 		})
-		if to == "" || t.n.call.Ask(t.n.set().InternalAddress(to), pathTally, m, nil, t.n.heartbeat(0.5)) != nil {
+		if to == "" || t.n.call.CallJSON(t.n.set().InternalAddress(to), pathTally, m, nil, t.n.heartbeat(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
 				t.scout.tally.Note(e.Cell, e.Sum)
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -96,7 +96,7 @@
 		h.desk.post(func() {
 			h.spreading = false
 			h.gossip.seq++
-			events.Log(events.HearsayTold, "searchers", len(h.gossip.dark))
+			events.Log(events.UnreachableReported, "searchers", len(h.gossip.dark))
 			h.announce()
 		})
 	})
@@ -127,7 +127,7 @@
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.n.call.Ask(t.n.set().InternalAddress(to), pathHearsay, hearsay{t.n.set().NodeName, dark}, nil, t.n.heartbeat(0.5))
+		_ = t.n.call.CallJSON(t.n.set().InternalAddress(to), pathHearsay, hearsay{t.n.set().NodeName, dark}, nil, t.n.heartbeat(0.5))
 		time.Sleep(t.n.heartbeat(0.2))
 	}
 }
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -26,7 +26,7 @@
 // hut is the part of a node with a disk. Its tables belong to one desk.
 type hut struct {
 	n      *Node
-	cellar *storage.Cellar
+	cellar *storage.Store
 	desk   *desk
 
 	// Owned by the desk.
@@ -108,7 +108,7 @@
 	until := time.Now().Add(config.Milliseconds(s.Bounds.AcknowledgeMs, 2))
 	for err != nil && time.Now().Before(until) {
 		// A disk in trouble often comes back; ending and starting anew would be no better.
-		events.Log(events.DiskTrouble, "err", err)
+		events.Log(events.DiskDegraded, "err", err)
 		time.Sleep(again)
 		cel, err = storage.Open(s.DataDirectory, slow, again)
 	}
@@ -132,15 +132,15 @@
 	h.life++
 	records := map[string][]byte{recLife: encode(recLife, h.life)}
 	if id == "" {
-		if s.FirstStart && !cel.SetAside() {
+		if s.FirstStart && !cel.Quarantined() {
 			ips := s.SeedIPs()
 			slices.Sort(ips)
 			id, st = consensus.GenesisID(s.IpAddress), consensus.Genesis(ips)
-			events.Log(events.GenesisVoters, "voters", strings.Join(ips, ","))
+			events.Log(events.ClusterBootstrapped, "voters", strings.Join(ips, ","))
 		} else {
 			// What was promised under an identity in a store that was set aside may be forgotten.
 			id = "later-" + s.IpAddress + "-" + randomName()
-			events.Log(events.IdentityNew, "id", id)
+			events.Log(events.IdentityCreated, "id", id)
 		}
 		maps.Copy(records, stateRecords(st, -1, 0))
 		records[recIdentity] = encode(recIdentity, id)
@@ -180,7 +180,7 @@
 		if err == nil || !time.Now().Before(until) {
 			return err
 		}
-		events.Log(events.DiskTrouble, "err", err)
+		events.Log(events.DiskDegraded, "err", err)
 		time.Sleep(again)
 	}
 }
@@ -188,7 +188,7 @@
 func encode(name string, v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		events.Log(events.InvariantBroken, "record", name, "err", err)
+		events.Log(events.InvariantViolated, "record", name, "err", err)
 		panic(err)
 	}
 	return b
@@ -285,28 +285,28 @@
 	switch string(c.Request.URI().PathOriginal()) {
 	case pathCairn:
 		var m cairnAsk
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			if say, err := h.vote(m); err != nil {
-				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
+				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 			} else {
-				transport.Answer(c, 200, say)
+				transport.WriteJSON(c, 200, say)
 			}
 		}
 	case pathLearn:
 		var m learnAsk
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.handleLearn(c, m)
 		}
 	case pathState:
 		var m stateAsk
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			var say *news
 			h.desk.ask(func() { say = h.news(min(m.Slot, h.acc.State.Slot)) })
-			transport.Answer(c, 200, say)
+			transport.WriteJSON(c, 200, say)
 		}
 	case pathVersion:
 		var m versionAsk
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			var say versionSay
 			var body []byte
 			h.desk.ask(func() { say, body = h.version(m) })
@@ -319,101 +319,101 @@
 	case pathPeek:
 		var say peekSay
 		h.desk.ask(func() { say = peekSay{h.acc.ID, h.acc.State.Slot, h.acc.Value != nil} })
-		transport.Answer(c, 200, say)
+		transport.WriteJSON(c, 200, say)
 	case pathBeat:
 		var m beat
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.desk.ask(func() {
 				h.hear(m)
 				granted := h.renew(m)
 				m = h.beat()
 				m.Granted = granted
 			})
-			transport.Answer(c, 200, m)
+			transport.WriteJSON(c, 200, m)
 		}
 	case pathTable:
 		var m tableAsk
-		if !transport.Read(c, &m) {
+		if !transport.ReadJSON(c, &m) {
 			return true
 		}
 		d, err := unpackDelta(m.Delta, h.n.maxMessage())
 		if err != nil {
-			events.Log(events.MessageRefused, "path", pathTable, "from", c.RemoteAddr(), "err", err)
-			transport.Answer(c, 400, map[string]string{"Error": err.Error()})
+			events.Log(events.MessageRejected, "path", pathTable, "from", c.RemoteAddr(), "err", err)
+			transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 			return true
 		}
 		var say tableSay
 		h.desk.ask(func() { say.Stamp = h.takeDelta(d) })
-		transport.Answer(c, 200, say)
+		transport.WriteJSON(c, 200, say)
 	case pathFetch:
 		var m fetchAsk
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			var say fetchSay
 			h.desk.ask(func() {
 				if h.table != nil {
 					say.Delta = h.delta(m.Stamp)
 				}
 			})
-			transport.Answer(c, 200, say)
+			transport.WriteJSON(c, 200, say)
 		}
 	case pathBid:
 		var m bidAsk
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleBid(m); err != nil {
-				transport.Answer(c, 503, map[string]string{"Error": err.Error()})
+				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 			} else {
-				transport.Answer(c, 200, say)
+				transport.WriteJSON(c, 200, say)
 			}
 		}
 	case pathHearsay:
 		var m hearsay
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.desk.ask(func() { h.handleHearsay(m) })
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case pathEnlist:
 		var l consensus.Larder
-		if !transport.Read(c, &l) {
+		if !transport.ReadJSON(c, &l) {
 			return true
 		}
 		if h.handleEnlist(l) {
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		} else {
-			transport.Answer(c, 503, map[string]string{"Error": "not agreed"})
+			transport.WriteJSON(c, 503, map[string]string{"Error": "not agreed"})
 		}
 	case pathTally:
 		var m tally
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.desk.ask(func() { h.takeTally(m) })
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case pathLedger:
 		var m ledger
-		if transport.Read(c, &m) {
+		if transport.ReadJSON(c, &m) {
 			h.desk.ask(func() { h.takeLedger(m) })
-			transport.Answer(c, 200, struct{}{})
+			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case pathRoll:
 		var r roll
 		h.desk.ask(func() { r = h.roll() })
-		transport.Answer(c, 200, r)
+		transport.WriteJSON(c, 200, r)
 	case pathSilent:
-		transport.Answer(c, 200, h.sayMembers())
+		transport.WriteJSON(c, 200, h.sayMembers())
 	case pathKeep:
 		if held, err := h.keep(); err != nil {
-			transport.Answer(c, 503, map[string]string{"Error": err.Error()})
+			transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 		} else {
-			transport.Answer(c, 200, held)
+			transport.WriteJSON(c, 200, held)
 		}
 	case pathJoin:
 		var m joinAsk
-		if transport.Read(c, &m) {
-			transport.Answer(c, 200, h.handleJoin(m))
+		if transport.ReadJSON(c, &m) {
+			transport.WriteJSON(c, 200, h.handleJoin(m))
 		}
 	case pathWatch:
 		var m watchAsk
-		if transport.Read(c, &m) {
-			transport.Answer(c, 200, h.handleWatch(m))
+		if transport.ReadJSON(c, &m) {
+			transport.WriteJSON(c, 200, h.handleWatch(m))
 		}
 	default:
 		return false
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -369,7 +369,7 @@
 // handle takes a front's ask.
 func (k *kitchen) handle(c *app.RequestContext) {
 	var a larderAsk
-	if !transport.Read(c, &a) {
+	if !transport.ReadJSON(c, &a) {
 		return
 	}
 	s := larderSay{Status: 503}
@@ -396,8 +396,8 @@
 		}
 		self := consensus.Larder{Name: k.n.set().NodeName, IP: k.n.set().IpAddress, Zone: k.n.set().Zone}
 		for _, ip := range k.t.hutIPs() {
-			if k.n.call.Ask(k.n.set().InternalAddress(ip), pathEnlist, self, nil, config.Milliseconds(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
-				events.Log(events.LarderListed, "by", ip)
+			if k.n.call.CallJSON(k.n.set().InternalAddress(ip), pathEnlist, self, nil, config.Milliseconds(k.n.set().Bounds.AcknowledgeMs, 0.4)) == nil {
+				events.Log(events.CacheNodeRegistered, "by", ip)
 				break
 			}
 		}
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -81,7 +81,7 @@
 	if ip == h.n.set().IpAddress {
 		say, err = h.handleBid(bidAsk{Bid: b})
 	} else {
-		err = h.n.call.Ask(h.n.set().InternalAddress(ip), pathBid, bidAsk{Bid: b}, &say, h.n.heartbeat(0.8))
+		err = h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathBid, bidAsk{Bid: b}, &say, h.n.heartbeat(0.8))
 	}
 	h.desk.post(func() {
 		delete(h.asked, id)
@@ -101,19 +101,19 @@
 	epoch, holds := h.duty.Token(now)
 	switch {
 	case holds && epoch != h.acting:
-		events.Log(events.DutyTaken, "epoch", epoch)
+		events.Log(events.LeaseAcquired, "epoch", epoch)
 		h.acting = epoch
 		select {
 		case h.taken <- struct{}{}:
 		default:
 		}
 	case !holds && h.acting != 0:
-		events.Log(events.DutyLeft, "epoch", h.acting, "known", h.duty.Epoch, "holder", h.duty.Holder)
+		events.Log(events.LeaseEnded, "epoch", h.acting, "known", h.duty.Epoch, "holder", h.duty.Holder)
 		h.acting = 0
 	}
 	if unfit := !h.duty.Fit(now); unfit != h.unfit {
 		if h.unfit = unfit; unfit {
-			events.Log(events.DutyUnfit)
+			events.Log(events.LeaseCandidacySuspended)
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		}
 		go func() {
 			var say bidSay
-			_ = h.n.call.Ask(h.n.set().InternalAddress(v.IP), pathBid, bidAsk{Bid: b, Release: true}, &say, h.n.heartbeat(0.8))
+			_ = h.n.call.CallJSON(h.n.set().InternalAddress(v.IP), pathBid, bidAsk{Bid: b, Release: true}, &say, h.n.heartbeat(0.8))
 		}()
 	}
 }
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -52,10 +52,10 @@
 	old := n.set()
 	switch {
 	case err != nil:
-		events.Log(events.SettingsKept, "err", err)
+		events.Log(events.SettingsReloadRejected, "err", err)
 		return
 	case s.IpAddress != old.IpAddress || s.InternalPort() != old.InternalPort() || s.HasDisk() != old.HasDisk():
-		events.Log(events.SettingsKept, "err", "IpAddress, InternalPortRange and DataDirectory can't change while the node runs")
+		events.Log(events.SettingsReloadRejected, "err", "IpAddress, InternalPortRange and DataDirectory can't change while the node runs")
 		return
 	}
 	s.DataDirectory = old.DataDirectory
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -26,12 +26,12 @@
 				defer wg.Done()
 				ask := watchAsk{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, Purge: -1, Zone: []string{"z1", "z2"}[i%2], First: true, HoldMs: 100, Hello: true}
 				var say watchSay
-				if err := w.nodes["1"].call.Ask(to, pathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
+				if err := w.nodes["1"].call.CallJSON(to, pathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
 					t.Errorf("hello: %v, %d huts", err, len(say.Huts))
 					return
 				}
 				ask.Hello = false
-				if err := w.nodes["1"].call.Ask(to, pathWatch, ask, &say, 3*time.Second); err != nil {
+				if err := w.nodes["1"].call.CallJSON(to, pathWatch, ask, &say, 3*time.Second); err != nil {
 					t.Errorf("watch: %v", err)
 					return
 				}
@@ -53,13 +53,13 @@
 	// What several of them tell of a searcher reaches another at once.
 	need := accusers(fronts/2 + 1)
 	for i := range need {
-		if err := w.nodes["1"].call.Ask(to, pathHearsay, hearsay{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
+		if err := w.nodes["1"].call.CallJSON(to, pathHearsay, hearsay{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var say watchSay
 	ask := watchAsk{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.nodes["1"].call.Ask(to, pathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
+	if err := w.nodes["1"].call.CallJSON(to, pathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
 		t.Errorf("told of silent searchers: %v, %v", say.Dark, err)
 	}
 	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -21,7 +21,7 @@
 // tick notes that this node runs; it runs on the desk.
 func (h *hut) tick() {
 	if h.watch.Tick(h.n.steady()) {
-		events.Log(events.WokeUp)
+		events.Log(events.FailureDetectorReset)
 	}
 }
 
@@ -82,7 +82,7 @@
 		if within <= 0 {
 			return held, false
 		}
-		err := h.n.call.Ask(addr, pathKeep, struct{}{}, &held, within)
+		err := h.n.call.CallJSON(addr, pathKeep, struct{}{}, &held, within)
 		if err == nil && held.Slot >= s.Slot {
 			h.desk.post(func() { h.depot.Confirm(ip, held.Slot) })
 			return held, true
@@ -163,7 +163,7 @@
 	for _, ip := range ips {
 		go func() {
 			x := scouted{ip: ip}
-			if h.n.call.Ask(h.n.set().InternalAddress(ip), pathPeek, struct{}{}, &x.say, h.n.heartbeat(0.8)) != nil {
+			if h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathPeek, struct{}{}, &x.say, h.n.heartbeat(0.8)) != nil {
 				in <- nil
 				return
 			}
@@ -204,7 +204,7 @@
 			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
 				continue
 			}
-			if h.n.call.Ask(h.n.set().InternalAddress(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.n.call.CallJSON(h.n.set().InternalAddress(x.ip), pathState, stateAsk{at}, &got, h.n.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -238,8 +238,8 @@
 			asked++
 			go func() {
 				var say joinSay
-				err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.4))
-				events.Log(events.JoinAsked, "of", ip, "votes", say.Votes, "err", err)
+				err := h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathJoin, joinAsk{h.acc.ID, h.n.set().IpAddress, h.kept()}, &say, config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.4))
+				events.Log(events.JoinRequested, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
 		}
@@ -283,7 +283,7 @@
 	for _, ip := range ips {
 		go func() {
 			var say membership.Say
-			if h.n.call.Ask(h.n.set().InternalAddress(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
+			if h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
 			}
@@ -340,7 +340,7 @@
 		}
 		if chosen, ok := h.seat(m, s.Voters, voters, until); ok {
 			on := h.seated(chosen, until)
-			events.Log(events.PlaceGiven, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
+			events.Log(events.VoterAdded, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
 			return joinSay{Votes: on, Slot: chosen.Slot}
 		}
 	}
@@ -480,7 +480,7 @@
 		time.Sleep(h.n.heartbeat(0.01))
 	}
 	p := h.handOff(at(0.66))
-	events.Log(events.HandedOff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
+	events.Log(events.DrainHandoff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
 	time.Sleep(time.Until(at(1.0 / 3)))
 	h.cellar.Close(grace / 4)
 }
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -60,7 +60,7 @@
 func Run(path, dir string, options Options) int {
 	s, err := config.LoadSettings(path)
 	if err != nil {
-		events.Log(events.SettingsBad, "err", err)
+		events.Log(events.SettingsInvalid, "err", err)
 		return 2
 	}
 	if dir != "" {
@@ -69,7 +69,7 @@
 	tune(s)
 	n, err := open(s, path, options)
 	if err != nil {
-		events.Log(events.SettingsBad, "err", err)
+		events.Log(events.SettingsInvalid, "err", err)
 		return 3
 	}
 	if n.begin() {
@@ -138,10 +138,10 @@
 	return int(mb * (1 << 20) / 32)
 }
 
-func (n *Node) listener(idle time.Duration) transport.Listener {
-	return transport.Listener{
-		MaxHeader: 64 << 10, MaxBody: n.maxMessage(), ReadWithin: config.Milliseconds(n.set().Bounds.InTouchMs, 2),
-		IdleFor: idle, UserTimeout: n.userTimeout(),
+func (n *Node) listener(idle time.Duration) transport.ServerOptions {
+	return transport.ServerOptions{
+		MaxHeaderBytes: 64 << 10, MaxBodyBytes: n.maxMessage(), ReadTimeout: config.Milliseconds(n.set().Bounds.InTouchMs, 2),
+		IdleTimeout: idle, TCPUserTimeout: n.userTimeout(),
 	}
 }
 
@@ -174,24 +174,24 @@
 		n.handleShuffle(c)
 	case pathSaddle:
 		var m relay.Ask
-		if !transport.Read(c, &m) {
+		if !transport.ReadJSON(c, &m) {
 			return
 		}
 		if n.trail == nil {
-			transport.Answer(c, 404, map[string]string{"Error": "no front"})
+			transport.WriteJSON(c, 404, map[string]string{"Error": "no front"})
 		} else if say, ok := n.trail.head.Lend(m); ok {
-			transport.Answer(c, 200, say)
+			transport.WriteJSON(c, 200, say)
 		} else {
-			transport.Answer(c, 409, map[string]string{"Error": "another version is in force here"})
+			transport.WriteJSON(c, 409, map[string]string{"Error": "another version is in force here"})
 		}
 	case pathLarder:
 		if n.kitchen == nil {
-			transport.Answer(c, 404, map[string]string{"Error": "no larder"})
+			transport.WriteJSON(c, 404, map[string]string{"Error": "no larder"})
 			return
 		}
 		n.kitchen.handle(c)
 	case pathStatus:
-		transport.Answer(c, 200, n.Status())
+		transport.WriteJSON(c, 200, n.Status())
 	case pathConfig, pathPurge:
 		n.handleControl(ctx, c)
 	default:
@@ -200,7 +200,7 @@
 			return
 		}
 		if n.hut == nil || !n.hut.handle(c) {
-			transport.Answer(c, 404, map[string]string{"Error": "no such call"})
+			transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
 		}
 	}
 }
@@ -214,20 +214,20 @@
 		defer n.hut.orders.Add(-1)
 		if n.hut.closing.Load() {
 			c.Response.Header.Set("Retry-After", "0.2")
-			transport.Answer(c, 503, map[string]string{"Error": "this node leaves"})
+			transport.WriteJSON(c, 503, map[string]string{"Error": "this node leaves"})
 			return
 		}
 	}
 	until := n.until(c)
 	switch {
 	case path != pathConfig && path != pathPurge && !rollout:
-		transport.Answer(c, 404, map[string]string{"Error": "no such call"})
+		transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
 	case path == pathConfig && m != "GET" && m != "PUT" && m != "PATCH":
-		transport.Answer(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
+		transport.WriteJSON(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
 	case path == pathPurge && m != "POST":
-		transport.Answer(c, 405, map[string]string{"Error": "POST only"})
+		transport.WriteJSON(c, 405, map[string]string{"Error": "POST only"})
 	case rollout && m != "GET" && !(m == "POST" && path == pathRollout):
-		transport.Answer(c, 405, map[string]string{"Error": "POST " + pathRollout + " and GET only"})
+		transport.WriteJSON(c, 405, map[string]string{"Error": "POST " + pathRollout + " and GET only"})
 	case m == "POST" && n.doubtful():
 		// A change of the configuration is known as late by its base, an order isn't.
 		n.unsettled(c, "this node stood still, and the order may be an old one")
@@ -265,12 +265,12 @@
 
 func (n *Node) handleShuffle(c *app.RequestContext) {
 	var m shuffle
-	if !transport.Read(c, &m) {
+	if !transport.ReadJSON(c, &m) {
 		return
 	}
 	var give []peersampling.Node
 	n.view.ask(func() { give = n.way.Answer(m.Nodes) })
-	transport.Answer(c, 200, shuffle{give})
+	transport.WriteJSON(c, 200, shuffle{give})
 }
 
 // shuffleLoop exchanges parts of the view with neighbours.
@@ -296,7 +296,7 @@
 			continue
 		}
 		var got shuffle
-		if err := n.call.Ask(n.set().InternalAddress(partner.IP), pathShuffle, shuffle{offer}, &got, n.heartbeat(0.8)); err == nil {
+		if err := n.call.CallJSON(n.set().InternalAddress(partner.IP), pathShuffle, shuffle{offer}, &got, n.heartbeat(0.8)); err == nil {
 			n.view.ask(func() { n.way.Finish(partner, got.Nodes) })
 		}
 	}
@@ -329,7 +329,7 @@
 // FetchStatus asks a node for its status; `swiftswitch status` uses it.
 func FetchStatus(addr string, within time.Duration) ([]byte, error) {
 	cl := transport.NewClient(1, within, within, 8<<20)
-	rep, err := cl.Call(addr, "GET", pathStatus, nil, nil, within)
+	rep, err := cl.Do(addr, "GET", pathStatus, nil, nil, within)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -33,7 +33,7 @@
 		}
 		c.Response.Reset()
 	}
-	events.Log(events.ReadUnsettled)
+	events.Log(events.ReadNoQuorum)
 	h.n.unsettled(c, "no majority can be reached")
 }
 
@@ -42,7 +42,7 @@
 	if string(c.Request.Header.Method()) == "GET" {
 		h.readFor(c, until, func(s consensus.State) {
 			if s.Version == 0 {
-				transport.Answer(c, 404, map[string]string{"Error": "there is no configuration yet"})
+				transport.WriteJSON(c, 404, map[string]string{"Error": "there is no configuration yet"})
 				return
 			}
 			c.SetStatusCode(200)
@@ -62,10 +62,10 @@
 	status, text := h.take(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
 	if status == 200 {
 		h.held(h.state().Slot, min(config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
-		transport.Answer(c, 200, map[string]int64{"Version": text.version})
+		transport.WriteJSON(c, 200, map[string]int64{"Version": text.version})
 		return
 	}
-	events.Log(events.ConfigRefused, "status", status, "why", text.why)
+	events.Log(events.ConfigRejected, "status", status, "why", text.why)
 	switch status {
 	case 503:
 		h.n.unsettled(c, text.why)
@@ -73,7 +73,7 @@
 	case 412:
 		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
 	}
-	transport.Answer(c, status, map[string]string{"Error": text.why})
+	transport.WriteJSON(c, status, map[string]string{"Error": text.why})
 }
 
 // taken is how a change ended: version is its own, or the current one where it lost.
--- a/internal/lodge/patience.go
+++ b/internal/lodge/patience.go
@@ -74,7 +74,7 @@
 func (n *Node) unsettled(c *app.RequestContext, why string) {
 	in := config.Milliseconds(n.set().Bounds.AcknowledgeMs, 0.02)
 	c.Response.Header.Set("Retry-After", strconv.FormatFloat(in.Seconds(), 'f', 3, 64))
-	transport.Answer(c, 503, map[string]string{"Error": why})
+	transport.WriteJSON(c, 503, map[string]string{"Error": why})
 }
 
 // vigil notices that the node stood still (it was frozen, or got no processor
@@ -140,7 +140,7 @@
 // look keeps the vigil; it runs on the view's desk.
 func (n *Node) look() {
 	if still := n.vigil.Look(n.steady()); still > 0 {
-		events.Log(events.StoodStill, "for", still)
+		events.Log(events.ProcessPaused, "for", still)
 	}
 }
 
@@ -185,7 +185,7 @@
 	note := func(ip string, answered bool) {
 		n.view.post(func() { n.unheard.Note(ip, answered, n.steady()) })
 	}
-	in := make(chan *transport.Reply, len(ips))
+	in := make(chan *transport.Response, len(ips))
 	waits, last := 0, ""
 	ask := func() {
 		left := time.Until(until)
@@ -201,7 +201,7 @@
 			hd["If-Match"] = match
 		}
 		go func() {
-			rep, err := n.call.Call(n.set().InternalAddress(ip), method, path, hd, body, left)
+			rep, err := n.call.Do(n.set().InternalAddress(ip), method, path, hd, body, left)
 			settled := err == nil && rep.Status < 500
 			note(ip, settled)
 			if !settled {
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -67,13 +67,13 @@
 		return true
 	}
 	var say fetchSay
-	err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathFetch, fetchAsk{held}, &say, h.n.heartbeat(0.8))
+	err := h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathFetch, fetchAsk{held}, &say, h.n.heartbeat(0.8))
 	var d *endpoints.Delta
 	if err == nil {
 		d, err = unpackDelta(say.Delta, h.n.maxMessage())
 	}
 	if err != nil {
-		events.Log(events.TableMissed, "voter", id, "err", err)
+		events.Log(events.TableSyncFailed, "voter", id, "err", err)
 		return false
 	}
 	now := held
@@ -86,12 +86,12 @@
 func (h *hut) poll(epoch int64) {
 	list, err := h.list()
 	if err != nil {
-		events.Log(events.ListFailed, "err", err)
+		events.Log(events.DiscoveryFailed, "err", err)
 		return
 	}
 	h.desk.ask(func() {
 		if now, ok := h.duty.Token(h.n.steady()); !ok || now != epoch {
-			events.Log(events.ListLate, "epoch", epoch)
+			events.Log(events.DiscoveryDiscarded, "epoch", epoch)
 			return
 		}
 		stamp := endpoints.Stamp{Epoch: epoch, By: h.duty.Self, Seq: 1}
@@ -102,7 +102,7 @@
 		if !changed {
 			return
 		}
-		events.Log(events.ListChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
+		events.Log(events.EndpointsChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
 		var held endpoints.Stamp
 		if h.table != nil {
 			held = h.table.Stamp
@@ -118,7 +118,7 @@
 func (h *hut) merge(t *endpoints.Table) {
 	if t.Stamp.Epoch < h.duty.Epoch && h.table != nil {
 		if t.Stamp.Before(h.table.Stamp) {
-			events.Log(events.TableOld, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
+			events.Log(events.StaleEpochRejected, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
 			return
 		}
 	}
@@ -139,7 +139,7 @@
 		if token != "" {
 			path += "?PageToken=" + url.QueryEscape(token)
 		}
-		rep, err := h.n.call.Call(h.n.set().CloudApi.Address, "GET", path, nil, nil, within)
+		rep, err := h.n.call.Do(h.n.set().CloudApi.Address, "GET", path, nil, nil, within)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -38,12 +38,12 @@
 // dropped and fetched once more, and nothing older comes of it.
 func (h *hut) handlePurge(c *app.RequestContext, until time.Time) {
 	if len(c.Request.Body()) > purgeSize {
-		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
 	o, err := config.ParsePurgeRequest(c.Request.Body())
 	if err != nil {
-		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
+		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
 	w := &purgeWait{purge: consensus.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
@@ -57,12 +57,12 @@
 	case ok := <-w.done:
 		if ok && h.grown(until) {
 			h.held(h.state().Slot, min(h.n.purgeMs(0.25), time.Until(until)/2))
-			transport.Answer(c, 200, map[string]string{"Purged": w.purge.ID})
+			transport.WriteJSON(c, 200, map[string]string{"Purged": w.purge.ID})
 			return
 		}
 	case <-h.n.stop:
 	}
-	events.Log(events.PurgeUnsettled, "host", o.HostName, "path", o.Path, "tag", o.Tag)
+	events.Log(events.PurgeNoQuorum, "host", o.HostName, "path", o.Path, "tag", o.Tag)
 	h.n.unsettled(c, "no majority agreed in time")
 }
 
@@ -223,5 +223,5 @@
 		}
 		return left
 	})
-	events.Log(events.LarderStruck, "count", len(gone), "done", ok)
+	events.Log(events.CacheNodesRemoved, "count", len(gone), "done", ok)
 }
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -49,7 +49,7 @@
 )
 
 // load reads all records into the values given; those that are not there stay.
-func load(cel *storage.Cellar, records map[string]any) error {
+func load(cel *storage.Store, records map[string]any) error {
 	for name, v := range records {
 		raw, err := cel.Get(name)
 		if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // loadState reads what was decided, and what this voter said about the open slot.
-func loadState(cel *storage.Cellar, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
+func loadState(cel *storage.Store, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
 	var body bodyRecord
 	var rec ballotRecord
 	pages := make([][]consensus.Taken, takenPages)
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -85,9 +85,9 @@
 			h.noteTerms(now)
 		}
 		if r.Phase == consensus.Canary {
-			events.Log(events.RolloutOrdered, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
+			events.Log(events.RolloutAccepted, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
 		} else {
-			events.Log(events.RolloutPhase, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
+			events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		})
 		if send != nil && to != "" {
 			go func() {
-				_ = h.n.call.Ask(h.n.set().InternalAddress(to), pathLedger, *send, nil, h.n.heartbeat(0.5))
+				_ = h.n.call.CallJSON(h.n.set().InternalAddress(to), pathLedger, *send, nil, h.n.heartbeat(0.5))
 			}()
 		}
 		for _, r := range steps {
@@ -216,9 +216,9 @@
 		j.Loaded = r.Phase != consensus.Canary
 		for _, a := range j.Step(now) {
 			if a.Bad {
-				events.Log(events.ChartSignal, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
+				events.Log(events.CUSUMAlarm, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
 			} else {
-				events.Log(events.ChartFalse, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
+				events.Log(events.CUSUMAlarmDismissed, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
 			}
 		}
 		f := rollout.Facts{
@@ -308,13 +308,13 @@
 		return
 	}
 	if len(c.Request.Body()) > rolloutSize {
-		transport.Answer(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
 	o, err := config.ParseRolloutRequest(c.Request.Body())
 	if err != nil {
-		events.Log(events.RolloutRefused, "why", err)
-		transport.Answer(c, 400, map[string]string{"Error": err.Error()})
+		events.Log(events.RolloutRejected, "why", err)
+		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
 	status, why := h.takeOrder(consensus.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
@@ -322,15 +322,15 @@
 		status, why = 503, "too few nodes hold it yet"
 	}
 	if status != 200 {
-		events.Log(events.RolloutRefused, "service", o.Service, "status", status, "why", why)
+		events.Log(events.RolloutRejected, "service", o.Service, "status", status, "why", why)
 	}
 	switch status {
 	case 200:
-		transport.Answer(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
+		transport.WriteJSON(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
 	case 503:
 		h.n.unsettled(c, why)
 	default:
-		transport.Answer(c, status, map[string]string{"Error": why})
+		transport.WriteJSON(c, status, map[string]string{"Error": why})
 	}
 }
 
@@ -352,7 +352,7 @@
 		case h.apart():
 			return 503, "no majority can be reached"
 		case h.cameLate(s, o):
-			events.Log(events.OrderLate, "service", o.Service, "to", o.Target)
+			events.Log(events.RolloutOrderStale, "service", o.Service, "to", o.Target)
 			return 200, ""
 		}
 		runs := known && old.Running()
@@ -408,16 +408,16 @@
 	h.readFor(c, until, func(s consensus.State) {
 		all := h.rollouts(s)
 		if service == "" {
-			transport.Answer(c, 200, map[string]any{"Rollouts": all})
+			transport.WriteJSON(c, 200, map[string]any{"Rollouts": all})
 			return
 		}
 		for _, r := range all {
 			if r.Service == service {
-				transport.Answer(c, 200, r)
+				transport.WriteJSON(c, 200, r)
 				return
 			}
 		}
-		transport.Answer(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
+		transport.WriteJSON(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
 	})
 }
 
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -35,8 +35,8 @@
 	go func() {
 		addr, within := h.n.set().InternalAddress(ip), h.n.heartbeat(0.8)
 		var say tableSay
-		if err := h.n.call.Ask(addr, pathTable, tableAsk{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
-			_ = h.n.call.Ask(addr, pathTable, tableAsk{whole}, &say, within)
+		if err := h.n.call.CallJSON(addr, pathTable, tableAsk{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
+			_ = h.n.call.CallJSON(addr, pathTable, tableAsk{whole}, &say, within)
 		}
 	}()
 }
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -147,7 +147,7 @@
 	scout scout
 
 	ln   atomic.Pointer[net.Listener]
-	gate transport.Gate
+	gate transport.ConnTracker
 	// def are the limits for clients where the operator gives none.
 	def routing.Limits
 }
@@ -180,7 +180,7 @@
 	if opt.Saddle {
 		t.choice = relay.NewChoice(n.heartbeat(1))
 		t.head.SetAcross(t.choice, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
-			err := n.call.Ask(n.set().InternalAddress(ip), pathSaddle, ask, say, within)
+			err := n.call.CallJSON(n.set().InternalAddress(ip), pathSaddle, ask, say, within)
 			if err != nil {
 				// Others may do better.
 				t.rosterAt.Store(0)
@@ -328,7 +328,7 @@
 			First: first, Larder: t.larder, Roster: first && t.rosterDue(), Hello: !t.placed.Load(), Heard: t.heard.Load(),
 		}
 		var say watchSay
-		err := n.call.Ask(n.set().InternalAddress(ip), pathWatch, ask, &say, hold+n.heartbeat(0.8))
+		err := n.call.CallJSON(n.set().InternalAddress(ip), pathWatch, ask, &say, hold+n.heartbeat(0.8))
 		if err != nil {
 			fails++
 			hold = n.heartbeat(1)
@@ -350,7 +350,7 @@
 		var d *endpoints.Delta
 		if say.Delta != nil {
 			if d, err = unpackDelta(say.Delta, n.maxMessage()); err != nil {
-				events.Log(events.MessageRefused, "from", ip, "path", pathWatch, "err", err)
+				events.Log(events.MessageRejected, "from", ip, "path", pathWatch, "err", err)
 				d = nil
 			}
 		}
@@ -495,7 +495,7 @@
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.n.call.Call(t.n.set().InternalAddress(ip), "POST", pathVersion, nil, encode("version", ask), config.Milliseconds(t.n.set().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.n.call.Do(t.n.set().InternalAddress(ip), "POST", pathVersion, nil, encode("version", ask), config.Milliseconds(t.n.set().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
@@ -512,7 +512,7 @@
 		c = have.ApplyDelta(c, say.Gone)
 	}
 	if err != nil || c.Version != say.Version {
-		events.Log(events.MessageRefused, "from", ip, "version", say.Version, "err", err)
+		events.Log(events.MessageRejected, "from", ip, "version", say.Version, "err", err)
 		return
 	}
 	t.config.Store(c)
@@ -542,7 +542,7 @@
 	if t.board.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.n.steady()) {
 		t.publish()
 	} else {
-		events.Log(events.CutNext, "version", v, "current", t.board.Current.Version)
+		events.Log(events.LayoutPending, "version", v, "current", t.board.Current.Version)
 	}
 	t.tick()
 }
@@ -556,7 +556,7 @@
 		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
 	}
 	if switched {
-		events.Log(events.CutSwitched, "from", old, "to", t.board.Current.Version, "ready", ready)
+		events.Log(events.LayoutSwitched, "from", old, "to", t.board.Current.Version, "ready", ready)
 	}
 	if switched || len(freed) > 0 {
 		t.publish()
@@ -594,9 +594,9 @@
 // a table, requests wait at its head.
 func (t *trail) open() {
 	lis := t.n.listener(t.def.Idle)
-	lis.MaxHeader = t.n.maxMessage() / 16
-	lis.Gate = &t.gate
-	lis.Limits = func() (time.Duration, time.Duration) {
+	lis.MaxHeaderBytes = t.n.maxMessage() / 16
+	lis.Tracker = &t.gate
+	lis.Timeouts = func() (time.Duration, time.Duration) {
 		if s := t.head.Current(); s != nil {
 			return s.Map.Limits.HeaderTimeout, s.Map.Limits.Idle
 		}
@@ -622,7 +622,7 @@
 		if t.ready.Load() && !t.n.leaving.Load() {
 			status = 200
 		}
-		transport.Answer(c, status, map[string]bool{"Ready": status == 200})
+		transport.WriteJSON(c, status, map[string]bool{"Ready": status == 200})
 	})
 }
 
@@ -647,16 +647,16 @@
 
 // leave lets the platform send its clients elsewhere, then ends what is under way.
 func (t *trail) leave(start time.Time, grace time.Duration) {
-	events.Log(events.FrontUnready, "why", "leaving")
+	events.Log(events.FrontNotReady, "why", "leaving")
 	t.head.Leave()
 	time.Sleep(time.Until(start.Add(grace / 2)))
 	if ln := t.ln.Load(); ln != nil {
 		(*ln).Close()
 	}
 	// Connections at rest are ended unread; the others end with their answer.
-	t.gate.Shut()
+	t.gate.Drain()
 	ended := false
-	for time.Since(start) < grace*92/100 && (t.gate.Busy() > 0 || t.head.Busy() > 0) {
+	for time.Since(start) < grace*92/100 && (t.gate.Active() > 0 || t.head.Busy() > 0) {
 		if !ended && time.Since(start) > grace*65/100 {
 			ended = true
 			t.head.End()
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -152,7 +152,7 @@
 // askRoll brings the roll of another hut.
 func (h *hut) askRoll(ip string) {
 	var r roll
-	err := h.n.call.Ask(h.n.set().InternalAddress(ip), pathRoll, struct{}{}, &r, h.n.heartbeat(0.8))
+	err := h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathRoll, struct{}{}, &r, h.n.heartbeat(0.8))
 	h.desk.post(func() {
 		if err != nil {
 			r = h.rolls[ip].roll
--- a/internal/storage/cellar.go
+++ b/internal/storage/cellar.go
@@ -29,8 +29,8 @@
 // ErrClosed answers a write that came after Close.
 var ErrClosed = errors.New("store is closed")
 
-// Cellar is a store of small records under names, all held in memory too.
-type Cellar struct {
+// Store is a store of small records under names, all held in memory too.
+type Store struct {
 	dir   string
 	again time.Duration
 	slow  time.Duration
@@ -54,7 +54,7 @@
 	aside bool
 }
 
-type quiet struct{ c *Cellar }
+type quiet struct{ c *Store }
 
 func (quiet) Infof(string, ...any)    {}
 func (q quiet) Errorf(string, ...any) {}
@@ -64,7 +64,7 @@
 
 // trouble ends what the store does on disk; it is opened anew, by the next
 // write or by itself.
-func (c *Cellar) trouble(err error) {
+func (c *Store) trouble(err error) {
 	c.mu.Lock()
 	first := !c.broken
 	c.broken = true
@@ -73,12 +73,12 @@
 	}
 	c.mu.Unlock()
 	if first {
-		events.Log(events.DiskTrouble, "err", err)
+		events.Log(events.DiskDegraded, "err", err)
 		time.AfterFunc(c.again, c.wake)
 	}
 }
 
-func (c *Cellar) wake() {
+func (c *Store) wake() {
 	select {
 	case c.kick <- struct{}{}:
 	default:
@@ -86,7 +86,7 @@
 }
 
 // lock takes the lock once: it is kept while the store is closed and opened anew.
-func (c *Cellar) lock(name string) (io.Closer, error) {
+func (c *Store) lock(name string) (io.Closer, error) {
 	if c.held == nil {
 		held, err := c.fs.Lock(name)
 		if err != nil {
@@ -97,17 +97,17 @@
 	return io.NopCloser(nil), nil
 }
 
-func (c *Cellar) unlock() {
+func (c *Store) unlock() {
 	if c.held != nil {
 		_ = c.held.Close()
 		c.held = nil
 	}
 }
 
-func (c *Cellar) path(name string) string { return c.fs.PathJoin(c.dir, name) }
+func (c *Store) path(name string) string { return c.fs.PathJoin(c.dir, name) }
 
 // open opens the store and reads all of it.
-func (c *Cellar) open() (db *pebble.DB, all map[string][]byte, err error) {
+func (c *Store) open() (db *pebble.DB, all map[string][]byte, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			db, err = nil, fmt.Errorf("store: %v", r)
@@ -153,7 +153,7 @@
 
 // probe writes a file: each opening that a full disk ends half way would leave
 // one more there.
-func (c *Cellar) probe() error {
+func (c *Store) probe() error {
 	f, err := c.fs.Create(c.path(probeName), vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return fmt.Errorf("disk takes no writes: %v", err)
@@ -168,7 +168,7 @@
 var errNoManifest = errors.New("store has files and nothing that names them")
 
 // whole finds a store that pebble would take for a new one and make empty.
-func (c *Cellar) whole() error {
+func (c *Store) whole() error {
 	names, err := c.fs.List(c.path(storeName))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -221,12 +221,12 @@
 
 // Open opens the store in dir. Waits that are longer than slow are logged,
 // and a broken store is opened again each time again has passed.
-func Open(dir string, slow, again time.Duration) (*Cellar, error) {
+func Open(dir string, slow, again time.Duration) (*Store, error) {
 	return openOn(vfs.Default, dir, slow, again)
 }
 
-func openOn(on vfs.FS, dir string, slow, again time.Duration) (*Cellar, error) {
-	c := &Cellar{dir: dir, again: again, slow: slow, fs: on, kick: make(chan struct{}, 1), pending: map[string][]byte{}, done: make(chan struct{}), last: map[string][]byte{}}
+func openOn(on vfs.FS, dir string, slow, again time.Duration) (*Store, error) {
+	c := &Store{dir: dir, again: again, slow: slow, fs: on, kick: make(chan struct{}, 1), pending: map[string][]byte{}, done: make(chan struct{}), last: map[string][]byte{}}
 	if err := makeDir(on, dir); err != nil {
 		return nil, err
 	}
@@ -257,8 +257,8 @@
 // setAside keeps a store that can't be read aside, once. The mark lasts before
 // the store's name changes: whatever a loss of power then leaves, an empty
 // folder too, is known to have held a store.
-func (c *Cellar) setAside(why error) error {
-	events.Log(events.DiskUnreadable, "err", why)
+func (c *Store) setAside(why error) error {
+	events.Log(events.StoreQuarantined, "err", why)
 	f, err := c.fs.Create(c.path(markName), vfs.WriteCategoryUnspecified)
 	if err != nil {
 		return err
@@ -280,19 +280,19 @@
 	return syncDir(c.fs, c.dir)
 }
 
-// SetAside tells whether a store was ever set aside here as unreadable: what
+// Quarantined tells whether a store was ever set aside here as unreadable: what
 // was promised under its identity may be forgotten. It is asked at the start.
-func (c *Cellar) SetAside() bool { return c.aside }
+func (c *Store) Quarantined() bool { return c.aside }
 
 // Get reads a record; it is used at the start only.
-func (c *Cellar) Get(name string) ([]byte, error) {
+func (c *Store) Get(name string) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.last[name]), nil
 }
 
 // Scan gives the records whose names begin with prefix; it is used at the start only.
-func (c *Cellar) Scan(prefix string) map[string][]byte {
+func (c *Store) Scan(prefix string) map[string][]byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string][]byte{}
@@ -309,7 +309,7 @@
 // failed is no promise, and may still be on disk now or later: the record is
 // written again as it is then, with all others. Whoever reads it after a start
 // must be able to live with either.
-func (c *Cellar) Put(name string, value []byte, then func(error)) {
+func (c *Store) Put(name string, value []byte, then func(error)) {
 	if value == nil {
 		value = []byte{}
 	}
@@ -317,13 +317,13 @@
 }
 
 // Delete removes a record, on the terms of Put.
-func (c *Cellar) Delete(name string, then func(error)) {
+func (c *Store) Delete(name string, then func(error)) {
 	c.PutAll(map[string][]byte{name: nil}, then)
 }
 
 // PutAll writes several records, and removes those whose value is nil: all of
 // it is on disk, or nothing.
-func (c *Cellar) PutAll(records map[string][]byte, then func(error)) {
+func (c *Store) PutAll(records map[string][]byte, then func(error)) {
 	c.mu.Lock()
 	if c.ended {
 		c.mu.Unlock()
@@ -340,7 +340,7 @@
 	c.wake()
 }
 
-func (c *Cellar) run() {
+func (c *Store) run() {
 	defer close(c.done)
 	for range c.kick {
 		c.mu.Lock()
@@ -354,7 +354,7 @@
 			start := time.Now()
 			err = c.write(batch)
 			if took := time.Since(start); took > c.slow && err == nil {
-				events.Log(events.DiskTrouble, "waited", took)
+				events.Log(events.DiskDegraded, "waited", took)
 			}
 		}
 		for _, f := range waiting {
@@ -373,7 +373,7 @@
 	}
 }
 
-func (c *Cellar) write(batch map[string][]byte) (err error) {
+func (c *Store) write(batch map[string][]byte) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("store: %v", r)
@@ -415,7 +415,7 @@
 // reopen closes the store, opens it anew and writes every record as it is
 // now: what was refused is promised to nobody, but never forgotten either. A
 // store that can't be read any more is set aside: all of it is in memory.
-func (c *Cellar) reopen() {
+func (c *Store) reopen() {
 	if c.db != nil {
 		c.disk.drain()
 		shut(c.db)
@@ -429,7 +429,7 @@
 		}
 	}
 	if err != nil {
-		events.Log(events.DiskTrouble, "err", err)
+		events.Log(events.DiskDegraded, "err", err)
 	} else {
 		c.db = db
 	}
@@ -441,14 +441,14 @@
 	}
 	c.mu.Unlock()
 	if err == nil {
-		events.Log(events.DiskBack)
+		events.Log(events.DiskRecovered)
 	}
 	c.wake()
 }
 
 // Close writes what is waiting and closes the store, for at most the time
 // given. What comes later is answered with ErrClosed.
-func (c *Cellar) Close(within time.Duration) {
+func (c *Store) Close(within time.Duration) {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
--- a/internal/storage/cellar_test.go
+++ b/internal/storage/cellar_test.go
@@ -13,7 +13,7 @@
 
 var errNoWord = errors.New("no word of the write")
 
-func put(t *testing.T, c *Cellar, name, value string) error {
+func put(t *testing.T, c *Store, name, value string) error {
 	t.Helper()
 	done := make(chan error, 1)
 	c.Put(name, []byte(value), func(err error) { done <- err })
--- a/internal/storage/loss_test.go
+++ b/internal/storage/loss_test.go
@@ -157,7 +157,7 @@
 	return newShaky(mem)
 }
 
-func openShaky(t *testing.T, s vfs.FS) *Cellar {
+func openShaky(t *testing.T, s vfs.FS) *Store {
 	t.Helper()
 	c, err := openOn(s, place, time.Second, 2*time.Millisecond)
 	if err != nil {
@@ -226,7 +226,7 @@
 			return 0, false, fmt.Errorf("half of a batch: %d and %d, %v", no, in, err)
 		}
 	}
-	return no, c.SetAside(), nil
+	return no, c.Quarantined(), nil
 }
 
 // A store that was set aside is known of from then on, whatever a loss of
@@ -260,14 +260,14 @@
 					t.Errorf("change %d, %d in 100: %v", n, percent, err)
 					continue
 				}
-				if id, _ := c.Get("identity"); id == nil && !c.SetAside() {
+				if id, _ := c.Get("identity"); id == nil && !c.Quarantined() {
 					t.Errorf("change %d, %d in 100: the store is empty and nothing tells that it held an identity", n, percent)
 				}
 				c.Close(time.Second)
 			}
 		}
 		c = openShaky(t, s)
-		if !c.SetAside() {
+		if !c.Quarantined() {
 			t.Error("the store was not set aside")
 		}
 		if err := put(t, c, "identity", "another"); err != nil {
@@ -275,8 +275,8 @@
 		}
 		c.Close(time.Second)
 		c = openShaky(t, s)
-		if id, _ := c.Get("identity"); string(id) != "another" || !c.SetAside() {
-			t.Errorf("identity is %q, set aside %v", id, c.SetAside())
+		if id, _ := c.Get("identity"); string(id) != "another" || !c.Quarantined() {
+			t.Errorf("identity is %q, set aside %v", id, c.Quarantined())
 		}
 		c.Close(time.Second)
 	}
@@ -357,8 +357,8 @@
 			t.Errorf("%s: %v", part, err)
 			continue
 		}
-		if !c.SetAside() || len(c.Scan("")) != 0 {
-			t.Errorf("%s: set aside %v, %d records", part, c.SetAside(), len(c.Scan("")))
+		if !c.Quarantined() || len(c.Scan("")) != 0 {
+			t.Errorf("%s: set aside %v, %d records", part, c.Quarantined(), len(c.Scan("")))
 		}
 		if err := put(t, c, "a", "b"); err != nil {
 			t.Errorf("%s: %v", part, err)
--- a/internal/storage/trouble_test.go
+++ b/internal/storage/trouble_test.go
@@ -69,7 +69,7 @@
 		after := s.lose(1, 0)
 		s.mu.Unlock()
 		cel = openShaky(t, after)
-		if cel.SetAside() {
+		if cel.Quarantined() {
 			t.Errorf("%s: the store was set aside", name)
 		}
 		for k, v := range held {
@@ -356,8 +356,8 @@
 	s.mu.Unlock()
 	c = openShaky(t, after)
 	defer c.Close(time.Second)
-	if n := len(c.Scan("")); n != 10 || !c.SetAside() {
-		t.Errorf("%d records of 10, set aside %v", n, c.SetAside())
+	if n := len(c.Scan("")); n != 10 || !c.Quarantined() {
+		t.Errorf("%d records of 10, set aside %v", n, c.Quarantined())
 	}
 }
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -25,8 +25,8 @@
 	return &Client{idle: map[string][]*Conn{}, keep: keep, idleFor: idleFor, userTimeout: userTimeout, maxBody: maxBody}
 }
 
-// Reply is an answer of another node.
-type Reply struct {
+// Response is an answer of another node.
+type Response struct {
 	Status int
 	Body   []byte
 	Header func(name string) string
@@ -42,7 +42,7 @@
 		}
 		cn := l[len(l)-1]
 		c.idle[addr] = l[:len(l)-1]
-		if now.Sub(cn.IdleSince) < c.idleFor && cn.Quiet() {
+		if now.Sub(cn.IdleSince) < c.idleFor && cn.Reusable() {
 			return cn
 		}
 		cn.Close()
@@ -60,16 +60,16 @@
 	c.idle[addr] = append(c.idle[addr], cn)
 }
 
-// Call sends a request to addr (host:port) and waits for the answer at most
+// Do sends a request to addr (host:port) and waits for the answer at most
 // for the time given. Nothing is sent twice.
-func (c *Client) Call(addr, method, path string, headers map[string]string, body []byte, within time.Duration) (Reply, error) {
+func (c *Client) Do(addr, method, path string, headers map[string]string, body []byte, within time.Duration) (Response, error) {
 	start := time.Now()
 	deadline := start.Add(within)
 	cn := c.take(addr, start)
 	if cn == nil {
 		var err error
 		if cn, err = Dial(addr, min(within, c.userTimeout), c.userTimeout); err != nil {
-			return Reply{}, err
+			return Response{}, err
 		}
 	}
 	b := make([]byte, 0, 256+len(body))
@@ -94,13 +94,13 @@
 	defer protocol.ReleaseResponse(out)
 	if _, err := cn.Exchange(b, deadline, false, c.maxBody, out); err != nil {
 		cn.Close()
-		return Reply{}, err
+		return Response{}, err
 	}
-	rep := Reply{Status: out.StatusCode(), Body: append([]byte(nil), out.Body()...)}
+	rep := Response{Status: out.StatusCode(), Body: append([]byte(nil), out.Body()...)}
 	hdr := map[string]string{}
 	out.Header.VisitAll(func(k, v []byte) { hdr[string(k)] = string(v) })
 	rep.Header = func(name string) string { return hdr[name] }
-	if out.ConnectionClose() || cn.Surplus() {
+	if out.ConnectionClose() || cn.HasSurplus() {
 		cn.Close()
 	} else {
 		c.put(addr, cn, time.Now())
@@ -108,14 +108,14 @@
 	return rep, nil
 }
 
-// Ask sends in as JSON and reads the answer into out. A status other than
+// CallJSON sends in as JSON and reads the answer into out. A status other than
 // 200 is an error.
-func (c *Client) Ask(addr, path string, in, out any, within time.Duration) error {
+func (c *Client) CallJSON(addr, path string, in, out any, within time.Duration) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	rep, err := c.Call(addr, "POST", path, nil, body, within)
+	rep, err := c.Do(addr, "POST", path, nil, body, within)
 	if err != nil {
 		return err
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -88,12 +88,12 @@
 	net.Conn
 	in reader
 	// IdleSince is when it was last put aside, IdleFor how long the peer keeps it.
-	IdleSince time.Time
-	IdleFor   time.Duration
+	IdleSince   time.Time
+	IdleTimeout time.Duration
 }
 
-// Control sets TCP_USER_TIMEOUT, so that a peer that fell silent is noticed.
-func Control(userTimeout time.Duration) func(network, address string, c syscall.RawConn) error {
+// controlTCPUserTimeout sets TCP_USER_TIMEOUT, so that a peer that fell silent is noticed.
+func controlTCPUserTimeout(userTimeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { setUserTimeout(fd, userTimeout) })
 	}
@@ -105,7 +105,7 @@
 
 // Dial opens a connection within the time given.
 func Dial(addr string, timeout, userTimeout time.Duration) (*Conn, error) {
-	d := net.Dialer{Timeout: timeout, Control: Control(userTimeout), KeepAlive: -1}
+	d := net.Dialer{Timeout: timeout, Control: controlTCPUserTimeout(userTimeout), KeepAlive: -1}
 	c, err := d.Dial("tcp4", addr)
 	if err != nil {
 		return nil, err
@@ -115,14 +115,14 @@
 	return rc, nil
 }
 
-// ErrSurplus says that bytes came which belong to no request.
-var ErrSurplus = errors.New("bytes that belong to no request")
+// ErrUnsolicited says that bytes came which belong to no request.
+var ErrUnsolicited = errors.New("bytes that belong to no request")
 
-// ErrNoEnd says that an answer has no stated end, so that it can't be known to be whole.
-var ErrNoEnd = errors.New("answer without a stated end")
+// ErrNoBodyLength says that an answer has no stated end, so that it can't be known to be whole.
+var ErrNoBodyLength = errors.New("answer without a stated end")
 
-// ErrFraming says that an answer's end is in doubt.
-var ErrFraming = errors.New("answer whose end is in doubt")
+// ErrAmbiguousFraming says that an answer's end is in doubt.
+var ErrAmbiguousFraming = errors.New("answer whose end is in doubt")
 
 // framed tells whether a head states the answer's end at most once, and in
 // lines that can be read in one way only.
@@ -150,7 +150,7 @@
 // byte may have gone out. After an error the connection must be closed.
 func (c *Conn) Exchange(request []byte, deadline time.Time, head bool, maxBody int, out *protocol.Response) (sent bool, err error) {
 	if c.in.Len() > 0 {
-		return false, ErrSurplus
+		return false, ErrUnsolicited
 	}
 	if err := c.SetDeadline(deadline); err != nil {
 		return false, err
@@ -165,7 +165,7 @@
 			return true, err
 		}
 		if !framed(c.in.skipped) {
-			return true, ErrFraming
+			return true, ErrAmbiguousFraming
 		}
 		code := out.Header.StatusCode()
 		if code >= 200 && code <= 599 {
@@ -179,7 +179,7 @@
 		return true, errors.New("answer is not HTTP/1.1")
 	}
 	if !head && out.Header.ContentLength() == -2 && !out.Header.MustSkipContentLength() {
-		return true, ErrNoEnd
+		return true, ErrNoBodyLength
 	}
 	if err := resp.ReadRespBody(out, &c.in, maxBody); err != nil {
 		if err == io.EOF {
@@ -190,18 +190,18 @@
 	return true, nil
 }
 
-// Surplus tells whether more bytes came than the answer holds.
-func (c *Conn) Surplus() bool { return c.in.Len() > 0 }
+// HasSurplus tells whether more bytes came than the answer holds.
+func (c *Conn) HasSurplus() bool { return c.in.Len() > 0 }
 
-// Quiet tells whether a kept connection is still open with nothing to read.
-func (c *Conn) Quiet() bool {
-	quiet, _ := c.Rested()
+// Reusable tells whether a kept connection is still open with nothing to read.
+func (c *Conn) Reusable() bool {
+	quiet, _ := c.CheckIdle()
 	return quiet
 }
 
-// Rested tells whether a kept connection is still open with nothing to read,
+// CheckIdle tells whether a kept connection is still open with nothing to read,
 // and if not, whether bytes came that belong to no request.
-func (c *Conn) Rested() (quiet, surplus bool) {
+func (c *Conn) CheckIdle() (quiet, surplus bool) {
 	if c.in.Len() > 0 {
 		return false, true
 	}
--- a/internal/transport/rope_test.go
+++ b/internal/transport/rope_test.go
@@ -35,10 +35,10 @@
 		t.Fatal("no listener")
 	}
 	cl := &counting{Listener: ln}
-	Serve(cl, Listener{MaxHeader: 1 << 16, MaxBody: 1 << 20, ReadWithin: time.Second, IdleFor: time.Second, UserTimeout: time.Second}, func(_ context.Context, c *app.RequestContext) {
+	Serve(cl, ServerOptions{MaxHeaderBytes: 1 << 16, MaxBodyBytes: 1 << 20, ReadTimeout: time.Second, IdleTimeout: time.Second, TCPUserTimeout: time.Second}, func(_ context.Context, c *app.RequestContext) {
 		var in struct{ Size int }
-		if Read(c, &in) {
-			Answer(c, 200, make([]byte, in.Size))
+		if ReadJSON(c, &in) {
+			WriteJSON(c, 200, make([]byte, in.Size))
 		}
 	})
 	defer ln.Close()
@@ -46,13 +46,13 @@
 	for i := 0; i < 40; i++ {
 		var out []byte
 		size := i * 100
-		if err := c.Ask(ln.Addr().String(), "/x", map[string]int{"Size": size}, &out, time.Second); err != nil || len(out) != size {
+		if err := c.CallJSON(ln.Addr().String(), "/x", map[string]int{"Size": size}, &out, time.Second); err != nil || len(out) != size {
 			t.Fatalf("call %d: %d bytes, %v", i, len(out), err)
 		}
 	}
 	// Also beyond the deadline of the call before.
 	for i := 0; i < 2; i++ {
-		if err := c.Ask(ln.Addr().String(), "/x", map[string]int{"Size": 1}, nil, 60*time.Millisecond); err != nil {
+		if err := c.CallJSON(ln.Addr().String(), "/x", map[string]int{"Size": 1}, nil, 60*time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(90 * time.Millisecond)
@@ -60,7 +60,7 @@
 	if n := cl.n.Load(); n != 1 {
 		t.Fatalf("%d connections for calls one after the other", n)
 	}
-	if rep, err := c.Call(ln.Addr().String(), "POST", "/x", nil, []byte("{"), time.Second); err != nil || rep.Status != 400 {
+	if rep, err := c.Do(ln.Addr().String(), "POST", "/x", nil, []byte("{"), time.Second); err != nil || rep.Status != 400 {
 		t.Fatalf("a malformed message: %v %v", rep.Status, err)
 	}
 }
@@ -100,11 +100,11 @@
 			t.Fatal("no listener")
 		}
 		ln := &dying{Listener: l}
-		Serve(ln, Listener{MaxHeader: 1 << 16, MaxBody: 1 << 20, ReadWithin: time.Second, IdleFor: time.Second, UserTimeout: time.Second}, func(_ context.Context, c *app.RequestContext) {
+		Serve(ln, ServerOptions{MaxHeaderBytes: 1 << 16, MaxBodyBytes: 1 << 20, ReadTimeout: time.Second, IdleTimeout: time.Second, TCPUserTimeout: time.Second}, func(_ context.Context, c *app.RequestContext) {
 			var in struct{ Wait, N int }
-			if Read(c, &in) {
+			if ReadJSON(c, &in) {
 				time.Sleep(time.Duration(in.Wait) * time.Millisecond)
-				Answer(c, 200, map[string]any{"N": in.N, "Name": name})
+				WriteJSON(c, 200, map[string]any{"N": in.N, "Name": name})
 			}
 		})
 		return ln.Addr().String(), ln.die
@@ -117,7 +117,7 @@
 			N    int
 			Name string
 		}
-		if err := c.Ask(addr, "/x", map[string]int{"Wait": wait, "N": n}, &out, within); err == nil && (out.N != n || out.Name != name) {
+		if err := c.CallJSON(addr, "/x", map[string]int{"Wait": wait, "N": n}, &out, within); err == nil && (out.N != n || out.Name != name) {
 			t.Errorf("call %d was answered with %+v", n, out)
 		} else if err == nil && time.Duration(wait)*time.Millisecond > within {
 			t.Errorf("call %d was answered too late", n)
@@ -150,10 +150,10 @@
 		t.Fatal("no listener")
 	}
 	defer ln.Close()
-	gate := &Gate{}
+	gate := &ConnTracker{}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
-	Serve(ln, Listener{MaxHeader: 1 << 16, MaxBody: 1 << 20, UserTimeout: time.Second, Limits: limits, Gate: gate}, func(_ context.Context, c *app.RequestContext) {
-		Answer(c, 200, string(c.Request.Body()))
+	Serve(ln, ServerOptions{MaxHeaderBytes: 1 << 16, MaxBodyBytes: 1 << 20, TCPUserTimeout: time.Second, Timeouts: limits, Tracker: gate}, func(_ context.Context, c *app.RequestContext) {
+		WriteJSON(c, 200, string(c.Request.Body()))
 	})
 	c, err := net.Dial("tcp4", ln.Addr().String())
 	if err != nil {
@@ -167,10 +167,10 @@
 		t.Fatalf("told to go on: %+v %v", r, err)
 	}
 	time.Sleep(20 * time.Millisecond)
-	if n := gate.Busy(); n != 1 {
+	if n := gate.Active(); n != 1 {
 		t.Errorf("%d connections count as busy", n)
 	}
-	gate.Shut()
+	gate.Drain()
 	_, _ = io.WriteString(c, "body")
 	r, err := http.ReadResponse(in, nil)
 	if err != nil || r.StatusCode != 200 {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -20,17 +20,17 @@
 
 func init() { hlog.SetLevel(hlog.LevelFatal) }
 
-// Listener says how one address is served.
-type Listener struct {
-	MaxHeader   int
-	MaxBody     int
-	ReadWithin  time.Duration
-	IdleFor     time.Duration
-	UserTimeout time.Duration
-	// Limits, where set, are asked each time in place of ReadWithin and IdleFor.
-	Limits func() (read, idle time.Duration)
-	// Gate, where set with Limits, is told of the connections.
-	Gate *Gate
+// ServerOptions says how one address is served.
+type ServerOptions struct {
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	ReadTimeout    time.Duration
+	IdleTimeout    time.Duration
+	TCPUserTimeout time.Duration
+	// Timeouts, where set, are asked each time in place of ReadWithin and IdleFor.
+	Timeouts func() (read, idle time.Duration)
+	// Tracker, where set with Limits, is told of the connections.
+	Tracker *ConnTracker
 }
 
 // hertz takes its times once, at the start. Where they may change it is given
@@ -40,16 +40,16 @@
 	markIdle = 48 * time.Hour
 )
 
-// Gate knows the connections of a listener, and which of them have a request
+// ConnTracker knows the connections of a listener, and which of them have a request
 // under way: from its first byte read to its answer written.
-type Gate struct {
+type ConnTracker struct {
 	mu    sync.Mutex
 	conns map[*gatedConn]bool
 	shut  bool
 }
 
-// Shut ends the connections that rest, and lets the others end with the answer under way.
-func (g *Gate) Shut() {
+// Drain ends the connections that rest, and lets the others end with the answer under way.
+func (g *ConnTracker) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.shut = true
@@ -60,8 +60,8 @@
 	}
 }
 
-// Busy counts the connections with a request under way.
-func (g *Gate) Busy() int {
+// Active counts the connections with a request under way.
+func (g *ConnTracker) Active() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
@@ -75,7 +75,7 @@
 
 type gated struct {
 	net.Listener
-	gate   *Gate
+	gate   *ConnTracker
 	limits func() (read, idle time.Duration)
 }
 
@@ -97,7 +97,7 @@
 type gatedConn struct {
 	net.Conn
 	limits func() (read, idle time.Duration)
-	gate   *Gate
+	gate   *ConnTracker
 	// Owned by the gate's lock. idle: nothing of a request was read; wrote:
 	// an answer was written since.
 	idle, wrote bool
@@ -162,7 +162,7 @@
 // Listen opens the listening socket, trying again while the address is taken
 // until stop is closed.
 func Listen(addr string, userTimeout, again time.Duration, stop <-chan struct{}) (net.Listener, bool) {
-	lc := &net.ListenConfig{Control: Control(userTimeout), KeepAlive: -1}
+	lc := &net.ListenConfig{Control: controlTCPUserTimeout(userTimeout), KeepAlive: -1}
 	for {
 		ln, err := lc.Listen(context.Background(), "tcp4", addr)
 		if err == nil {
@@ -179,22 +179,22 @@
 
 // Serve starts a server on ln whose every request goes to handle: paths are
 // not normalised, nothing is added to answers, no body is touched.
-func Serve(ln net.Listener, l Listener, handle app.HandlerFunc) *server.Hertz {
-	if l.Limits != nil {
-		if l.Gate == nil {
-			l.Gate = &Gate{}
+func Serve(ln net.Listener, l ServerOptions, handle app.HandlerFunc) *server.Hertz {
+	if l.Timeouts != nil {
+		if l.Tracker == nil {
+			l.Tracker = &ConnTracker{}
 		}
-		ln = gated{ln, l.Gate, l.Limits}
-		l.ReadWithin, l.IdleFor = markRead, markIdle
+		ln = gated{ln, l.Tracker, l.Timeouts}
+		l.ReadTimeout, l.IdleTimeout = markRead, markIdle
 	}
 	h := server.New(
 		server.WithListener(ln),
 		server.WithTransport(standard.NewTransporter),
-		server.WithMaxHeaderBytes(l.MaxHeader),
-		server.WithMaxRequestBodySize(l.MaxBody),
-		server.WithReadTimeout(l.ReadWithin),
-		server.WithKeepAliveTimeout(l.ReadWithin),
-		server.WithIdleTimeout(l.IdleFor),
+		server.WithMaxHeaderBytes(l.MaxHeaderBytes),
+		server.WithMaxRequestBodySize(l.MaxBodyBytes),
+		server.WithReadTimeout(l.ReadTimeout),
+		server.WithKeepAliveTimeout(l.ReadTimeout),
+		server.WithIdleTimeout(l.IdleTimeout),
 		server.WithReadBufferSize(2048),
 		server.WithUseRawPath(true),
 		server.WithUnescapePathValues(false),
@@ -206,8 +206,8 @@
 		server.WithDisablePrintRoute(true),
 		config.Option{F: func(o *config.Options) { o.NoDefaultServerHeader = true }},
 		server.WithOnAccept(func(c net.Conn) context.Context {
-			boundConn(c, l.UserTimeout)
-			_ = c.SetReadDeadline(time.Now().Add(l.ReadWithin))
+			boundConn(c, l.TCPUserTimeout)
+			_ = c.SetReadDeadline(time.Now().Add(l.ReadTimeout))
 			return context.Background()
 		}),
 	)
@@ -233,8 +233,8 @@
 	_ = raw.Control(func(fd uintptr) { setUserTimeout(fd, d) })
 }
 
-// Answer writes v as JSON.
-func Answer(c *app.RequestContext, status int, v any) {
+// WriteJSON writes v as JSON.
+func WriteJSON(c *app.RequestContext, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		status, b = 500, []byte(`{}`)
@@ -244,11 +244,11 @@
 	c.Response.SetBodyRaw(b)
 }
 
-// Read parses a node's message; on failure it answers 400 and returns false.
-func Read(c *app.RequestContext, v any) bool {
+// ReadJSON parses a node's message; on failure it answers 400 and returns false.
+func ReadJSON(c *app.RequestContext, v any) bool {
 	if err := json.Unmarshal(c.Request.Body(), v); err != nil {
-		events.Log(events.MessageRefused, "path", string(c.Request.Header.RequestURI()), "from", c.RemoteAddr(), "err", err)
-		Answer(c, 400, map[string]string{"Error": err.Error()})
+		events.Log(events.MessageRejected, "path", string(c.Request.Header.RequestURI()), "from", c.RemoteAddr(), "err", err)
+		WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return false
 	}
 	return true
--- a/internal/upstream/traverse.go
+++ b/internal/upstream/traverse.go
@@ -445,10 +445,10 @@
 		c := p.idle[0]
 		p.idle = p.idle[1:]
 		g.mu.Unlock()
-		quiet, surplus := c.Rested()
+		quiet, surplus := c.CheckIdle()
 		if surplus {
 			g.doubt(p, now)
-		} else if quiet && now.Sub(c.IdleSince) < c.IdleFor {
+		} else if quiet && now.Sub(c.IdleSince) < c.IdleTimeout {
 			return c
 		}
 		c.Close()
@@ -466,7 +466,7 @@
 	for _, c := range shut {
 		c.Close()
 	}
-	events.Log(events.SearcherGarbles, "searcher", p.ID)
+	events.Log(events.UnsolicitedResponse, "searcher", p.ID)
 }
 
 // Try sends the request to a chosen searcher and waits for its answer until
@@ -504,7 +504,7 @@
 	began := time.Now()
 	sent, err := c.Exchange(r.bytesFor(p.ID, int64(left/time.Millisecond)), deadline, r.Method == "HEAD", g.opt.MaxBody, out)
 	if err == nil && !belongs(out, r.ID) {
-		err = transport.ErrSurplus
+		err = transport.ErrUnsolicited
 	}
 	if err != nil {
 		c.Close()
@@ -512,7 +512,7 @@
 		if !sent {
 			return Outcome{Verdict: Unsent, Err: err}
 		}
-		events.Log(events.AnswerBroken, "searcher", p.ID, "err", err)
+		events.Log(events.ResponseMalformed, "searcher", p.ID, "err", err)
 		return Outcome{Verdict: Unknown, Err: err, Took: time.Since(began), shut: fresh && ended(err)}
 	}
 	o := Outcome{Verdict: Answered, Status: out.StatusCode(), Stamp: string(out.Header.Peek(HeaderStamp)), Resp: out, Took: time.Since(began)}
@@ -521,7 +521,7 @@
 	}
 	g.note(p, out)
 	switch {
-	case c.Surplus():
+	case c.HasSurplus():
 		g.doubt(p, time.Now())
 		c.Close()
 	case out.ConnectionClose():
@@ -576,13 +576,13 @@
 
 // rest puts a connection aside for the next request.
 func (g *Range) rest(p *Peer, c *transport.Conn, out *protocol.Response) {
-	c.IdleSince, c.IdleFor = time.Now(), g.opt.KeepIdle
+	c.IdleSince, c.IdleTimeout = time.Now(), g.opt.KeepIdle
 	if ka := string(out.Header.Peek("Keep-Alive")); ka != "" {
 		for _, part := range strings.Split(ka, ",") {
 			if k, v, ok := strings.Cut(strings.TrimSpace(part), "="); ok && strings.EqualFold(k, "timeout") {
 				if n, err := strconv.Atoi(v); err == nil && n > 0 {
 					// A request must arrive before the searcher closes: leave a part unused.
-					c.IdleFor = time.Duration(float64(n) * 0.8 * float64(time.Second))
+					c.IdleTimeout = time.Duration(float64(n) * 0.8 * float64(time.Second))
 				}
 			}
 		}
@@ -608,7 +608,7 @@
 	switch {
 	case o.Verdict == Answered || o.Verdict == NotRun && o.Status != 421:
 		if p.fails >= g.opt.FailsOut {
-			events.Log(events.SearcherBack, "searcher", p.ID)
+			events.Log(events.EndpointRestored, "searcher", p.ID)
 		}
 		p.fails, p.outs, p.outUntil = 0, 0, time.Time{}
 		if o.Verdict == Answered {
@@ -648,7 +648,7 @@
 			if !now.Before(p.outUntil) {
 				p.outs = min(p.outs+1, 3)
 				p.outUntil = now.Add(g.opt.OutFor << (p.outs - 1))
-				events.Log(events.SearcherOut, "searcher", p.ID, "err", o.Err)
+				events.Log(events.EndpointEjected, "searcher", p.ID, "err", o.Err)
 			}
 		}
 	}
@@ -697,7 +697,7 @@
 		most := g.limit(p, t, g.reach(p.Service, p.Version, t, now), now)
 		keep := p.idle[:0]
 		for i, c := range p.idle {
-			if now.Sub(c.IdleSince) >= c.IdleFor || most >= 0 && len(p.inflight)+len(p.idle)-i > most {
+			if now.Sub(c.IdleSince) >= c.IdleTimeout || most >= 0 && len(p.inflight)+len(p.idle)-i > most {
 				shut = append(shut, c)
 			} else {
 				keep = append(keep, c)
