--- a/internal/lease/exhaustive_test.go
+++ b/internal/lease/exhaustive_test.go
@@ -17,7 +17,7 @@
 	now    time.Duration
 	voters [3]*Voter
 	disks  [3]map[string]Record
-	duties [2]*Duty
+	duties [2]*Candidate
 	bids   [2][3]*smallBid // on their way to a voter
 	says   [2][3]*smallSay // on their way back
 	used   map[int64]string
@@ -25,13 +25,13 @@
 }
 
 type smallBid struct {
-	bid  Bid
+	bid  Request
 	sent time.Duration
 }
 
 type smallSay struct {
 	smallBid
-	grant Grant
+	grant Response
 }
 
 func newSmall(p plant) *small {
@@ -41,8 +41,8 @@
 		m.voters[i] = NewVoter(id, s, nil, 0, true, m.now)
 	}
 	for i := range m.duties {
-		m.duties[i] = New("list", ids[i], s, -9*s)
-		m.duties[i].SetLife(1)
+		m.duties[i] = NewCandidate("list", ids[i], s, -9*s)
+		m.duties[i].SetIncarnation(1)
 		m.duties[i].SetVoters(0, ids)
 	}
 	m.duties[1].seen = 5 // it need not be refused first
@@ -51,10 +51,10 @@
 
 // take lets a voter answer a bid; the write is on disk before the answer.
 func (m *small) take(i, v int, b smallBid) *smallSay {
-	g, write := m.voters[v].Take(b.bid, m.now)
+	g, write := m.voters[v].HandleRequest(b.bid, m.now)
 	if write > 0 && (m.plant != beforeSync || v != 2) {
 		m.disks[v], _ = m.voters[v].Records()
-		m.voters[v].Kept(write)
+		m.voters[v].MarkDurable(write)
 	}
 	return &smallSay{b, g}
 }
@@ -64,9 +64,9 @@
 	if m.plant == countedLate {
 		sent = m.now
 	}
-	m.duties[i].Answer(say.bid, say.grant, sent, m.now)
+	m.duties[i].OnResponse(say.bid, say.grant, sent, m.now)
 	if m.plant == takenAlone && say.grant.OK {
-		m.duties[i].Answer(say.bid, Grant{Voter: "c", OK: true}, sent, m.now)
+		m.duties[i].OnResponse(say.bid, Response{Voter: "c", OK: true}, sent, m.now)
 	}
 }
 
@@ -74,9 +74,9 @@
 func (m *small) step(k int) bool {
 	switch {
 	case k < 2: // a candidate bids; its own voter answers at once
-		m.duties[k].Hear("c", true, m.now)
-		m.duties[k].Hear([]string{"b", "a"}[k], false, m.now)
-		b, ok := m.duties[k].Ask(m.now)
+		m.duties[k].OnHeartbeat("c", true, m.now)
+		m.duties[k].OnHeartbeat([]string{"b", "a"}[k], false, m.now)
+		b, ok := m.duties[k].NextRequest(m.now)
 		if !ok {
 			return false
 		}
@@ -125,7 +125,7 @@
 		return "both have the duty"
 	}
 	for _, d := range m.duties {
-		if e, ok := d.Token(m.now); ok {
+		if e, ok := d.FencingToken(m.now); ok {
 			if by := m.used[e]; by != "" && by != d.Self {
 				return fmt.Sprintf("epoch %d is had by two", e)
 			}
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -73,7 +73,7 @@
 	skew   time.Duration
 	run    int // tells lives of the node in the simulation apart
 	voter  *Voter
-	duty   *Duty
+	duty   *Candidate
 	set    simSet
 	table  simTable
 	wrote  int64 // the last write of this life that is on disk
@@ -216,10 +216,10 @@
 		began -= simLease
 	}
 	n.voter = NewVoter(n.disk.id, simLease, n.disk.records, n.set.slot, slices.Contains(n.set.voters, n.disk.id), began)
-	n.duty = New("list", n.disk.id, simLease, now)
-	n.duty.SetLife(n.disk.life)
+	n.duty = NewCandidate("list", n.disk.id, simLease, now)
+	n.duty.SetIncarnation(n.disk.life)
 	n.duty.SetVoters(n.set.slot, n.set.voters)
-	n.duty.See(n.table.epoch, n.table.by)
+	n.duty.ObserveEpoch(n.table.epoch, n.table.by)
 	m.logf("%s starts, life %d, set %d", n.disk.id, n.disk.life, n.set.slot)
 	m.after(time.Duration(m.r.Int64N(int64(simLease/5))), i, "tick", func() { m.tick(i) })
 }
@@ -247,42 +247,42 @@
 	id, now := n.disk.id, m.clock(i)
 	for j := range m.nodes {
 		if j != i {
-			fit, epoch, holder, set := n.duty.Fit(now), n.duty.Epoch, n.duty.Holder, n.set
+			fit, epoch, holder, set := n.duty.Eligible(now), n.duty.ObservedEpoch, n.duty.ObservedHolder, n.set
 			m.send(i, j, false, "beat", func() {
 				o := m.nodes[j]
-				o.duty.Hear(id, fit, m.clock(j))
-				o.duty.See(epoch, holder)
+				o.duty.OnHeartbeat(id, fit, m.clock(j))
+				o.duty.ObserveEpoch(epoch, holder)
 				m.learn(j, set)
 				m.learn(i, o.set)
 			})
 		}
 	}
-	if b, ok := n.duty.Yield(false, now); ok {
+	if b, ok := n.duty.Release(false, now); ok {
 		m.logf("%s gives back %d", id, b.Epoch)
 		for _, v := range n.set.voters {
 			j := m.ids[v]
-			m.send(i, j, false, "release", func() { m.nodes[j].voter.Release(b, m.clock(j)) })
+			m.send(i, j, false, "release", func() { m.nodes[j].voter.HandleRelease(b, m.clock(j)) })
 		}
 	}
-	if b, ok := n.duty.Ask(now); ok {
+	if b, ok := n.duty.NextRequest(now); ok {
 		for _, v := range n.set.voters {
 			m.bid(i, m.ids[v], b)
 		}
 	}
-	if epoch, ok := n.duty.Token(now); ok {
+	if epoch, ok := n.duty.FencingToken(now); ok {
 		m.poll(i, epoch)
 	}
 }
 
-func (m *sim) bid(i, j int, b Bid) {
+func (m *sim) bid(i, j int, b Request) {
 	sent, run := m.clock(i), m.nodes[i].run
 	m.send(i, j, false, "bid", func() {
 		v := m.nodes[j]
-		v.voter.Unsettle(v.disk.accepted != nil && m.plant != unsettledGrants)
-		g, write := v.voter.Take(b, m.clock(j))
+		v.voter.SetReconfigurationPending(v.disk.accepted != nil && m.plant != unsettledGrants)
+		g, write := v.voter.HandleRequest(b, m.clock(j))
 		if m.plant == takenAlone && i == j && g.OK {
 			for _, id := range m.nodes[i].set.voters {
-				m.nodes[i].duty.Answer(b, Grant{Voter: id, OK: true}, sent, m.clock(i))
+				m.nodes[i].duty.OnResponse(b, Response{Voter: id, OK: true}, sent, m.clock(i))
 			}
 		}
 		answer := func() {
@@ -294,8 +294,8 @@
 				if m.plant == countedLate {
 					at = m.clock(i)
 				}
-				m.nodes[i].duty.Answer(b, g, at, m.clock(i))
-				if e, ok := m.nodes[i].duty.Token(m.clock(i)); ok {
+				m.nodes[i].duty.OnResponse(b, g, at, m.clock(i))
+				if e, ok := m.nodes[i].duty.FencingToken(m.clock(i)); ok {
 					m.use(i, e)
 				}
 			})
@@ -316,7 +316,7 @@
 			if write > v.wrote { // writes reach the disk in their order
 				v.wrote, v.disk.records = write, records
 			}
-			v.voter.Kept(write)
+			v.voter.MarkDurable(write)
 			if m.plant != beforeSync {
 				answer()
 			}
@@ -345,7 +345,7 @@
 		m.list++
 		read := m.list
 		m.after(m.delay(), i, "merge", func() {
-			if e, ok := n.duty.Token(m.clock(i)); m.plant != usedLate && (!ok || e != epoch) {
+			if e, ok := n.duty.FencingToken(m.clock(i)); m.plant != usedLate && (!ok || e != epoch) {
 				return
 			}
 			t := simTable{epoch, 1, n.disk.id, read}
@@ -372,7 +372,7 @@
 
 func (m *sim) take(i int, t simTable) {
 	n := m.nodes[i]
-	n.duty.See(t.epoch, t.by)
+	n.duty.ObserveEpoch(t.epoch, t.by)
 	if !n.table.less(t) {
 		return
 	}
@@ -508,7 +508,7 @@
 	var who []string
 	for i, n := range m.nodes {
 		if n.up && n.duty.Holds(m.clock(i)) {
-			e, _ := n.duty.Token(m.clock(i))
+			e, _ := n.duty.FencingToken(m.clock(i))
 			m.use(i, e)
 			who = append(who, fmt.Sprintf("%s(%d)", n.disk.id, e))
 		}
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -22,9 +22,9 @@
 	Life   int64
 }
 
-// Bid asks a voter for a duty's lease under an epoch; the same bid again
+// Request asks a voter for a duty's lease under an epoch; the same bid again
 // renews it.
-type Bid struct {
+type Request struct {
 	Duty   string
 	Epoch  int64
 	Holder string
@@ -34,10 +34,10 @@
 	VotersSlot int64
 }
 
-func (b Bid) record() Record { return Record{b.Epoch, b.Holder, b.Life} }
+func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Life} }
 
-// Grant is a voter's answer.
-type Grant struct {
+// Response is a voter's answer.
+type Response struct {
 	Voter string
 	OK    bool
 	// Record is what the voter has granted. It is not a promise unless OK.
@@ -86,22 +86,22 @@
 	v.votersSlot, v.votes = votersSlot, votes
 }
 
-// Unsettle notes whether this voter accepted other voters for the open slot.
+// SetReconfigurationPending notes whether this voter accepted other voters for the open slot.
 // Until it knows the outcome it grants and renews nothing: the others may be
 // in force already.
-func (v *Voter) Unsettle(on bool) { v.unsettled = on }
+func (v *Voter) SetReconfigurationPending(on bool) { v.unsettled = on }
 
 // Records are what must be on disk, and the number of that write.
 func (v *Voter) Records() (map[string]Record, int64) { return maps.Clone(v.records), v.written }
 
-// Kept notes that the write of that number is on disk.
-func (v *Voter) Kept(write int64) { v.kept = max(v.kept, write) }
+// MarkDurable notes that the write of that number is on disk.
+func (v *Voter) MarkDurable(write int64) { v.kept = max(v.kept, write) }
 
-// Take answers a bid. Where write is above 0, the answer leaves only once the
+// HandleRequest answers a bid. Where write is above 0, the answer leaves only once the
 // records are on disk.
-func (v *Voter) Take(b Bid, now time.Duration) (g Grant, write int64) {
+func (v *Voter) HandleRequest(b Request, now time.Duration) (g Response, write int64) {
 	rec := v.records[b.Duty]
-	g = Grant{Voter: v.self, Record: rec, VotersSlot: v.votersSlot}
+	g = Response{Voter: v.self, Record: rec, VotersSlot: v.votersSlot}
 	if !v.votes || v.unsettled || b.VotersSlot != v.votersSlot || setOf(b.Epoch) != b.VotersSlot {
 		return g, 0
 	}
@@ -121,7 +121,7 @@
 }
 
 // free tells whether a new epoch may be granted.
-func (v *Voter) free(b Bid, rec Record, now time.Duration) bool {
+func (v *Voter) free(b Request, rec Record, now time.Duration) bool {
 	same := b.Holder == rec.Holder
 	switch {
 	case b.Epoch <= rec.Epoch, same && b.Life < rec.Life, now < v.mute:
@@ -137,8 +137,8 @@
 	return true
 }
 
-// Release ends the lease of that bid before its time.
-func (v *Voter) Release(b Bid, now time.Duration) {
+// HandleRelease ends the lease of that bid before its time.
+func (v *Voter) HandleRelease(b Request, now time.Duration) {
 	if v.records[b.Duty] == b.record() {
 		v.until[b.Duty] = now
 	}
--- a/internal/lease/warden_test.go
+++ b/internal/lease/warden_test.go
@@ -12,16 +12,16 @@
 	t      *testing.T
 	ids    []string
 	voters map[string]*Voter
-	duties map[string]*Duty
+	duties map[string]*Candidate
 }
 
 func newPlace(t *testing.T, ids ...string) *place {
-	p := &place{t: t, ids: ids, voters: map[string]*Voter{}, duties: map[string]*Duty{}}
+	p := &place{t: t, ids: ids, voters: map[string]*Voter{}, duties: map[string]*Candidate{}}
 	for _, id := range ids {
 		p.voters[id] = NewVoter(id, s, nil, 0, true, 0)
-		p.duties[id] = New("list", id, s, 0)
+		p.duties[id] = NewCandidate("list", id, s, 0)
 		p.duties[id].SetVoters(0, ids)
-		p.duties[id].SetLife(1)
+		p.duties[id].SetIncarnation(1)
 	}
 	return p
 }
@@ -30,22 +30,22 @@
 func (p *place) hear(now time.Duration, ids ...string) {
 	for _, a := range ids {
 		for _, b := range ids {
-			p.duties[a].Hear(b, p.duties[b].Fit(now), now)
-			p.duties[a].See(p.duties[b].Epoch, p.duties[b].Holder)
+			p.duties[a].OnHeartbeat(b, p.duties[b].Eligible(now), now)
+			p.duties[a].ObserveEpoch(p.duties[b].ObservedEpoch, p.duties[b].ObservedHolder)
 		}
 	}
 }
 
 // bid lets a node ask those voters, if it bids at all.
 func (p *place) bid(now time.Duration, id string, to ...string) bool {
-	b, ok := p.duties[id].Ask(now)
+	b, ok := p.duties[id].NextRequest(now)
 	if !ok {
 		return false
 	}
 	for _, v := range to {
-		g, write := p.voters[v].Take(b, now)
-		p.voters[v].Kept(write)
-		p.duties[id].Answer(b, g, now, now)
+		g, write := p.voters[v].HandleRequest(b, now)
+		p.voters[v].MarkDurable(write)
+		p.duties[id].OnResponse(b, g, now, now)
 	}
 	return true
 }
@@ -73,7 +73,7 @@
 	p.holds(1, "")
 	p.bid(1, "a", "b")
 	p.holds(1, "a")
-	if p.duties["a"].Epoch != 1 || p.bid(1, "b", "a", "b", "c") {
+	if p.duties["a"].ObservedEpoch != 1 || p.bid(1, "b", "a", "b", "c") {
 		t.Fatal("the second bids beside a live first")
 	}
 	// a renews with b, until it freezes.
@@ -88,7 +88,7 @@
 	p.hear(31*s/20, "b", "c")
 	p.bid(31*s/20, "b", "b", "c")
 	p.holds(31*s/20, "b")
-	if e, ok := p.duties["b"].Token(31 * s / 20); !ok || e != 2 {
+	if e, ok := p.duties["b"].FencingToken(31 * s / 20); !ok || e != 2 {
 		t.Fatalf("epoch %d, %v", e, ok)
 	}
 	// a wakes. Its old bid wins nothing; b gives way once it hears that a is fit.
@@ -96,7 +96,7 @@
 	p.holds(32*s/20, "b")
 	p.hear(33*s/20, "a", "b", "c")
 	p.hear(33*s/20, "a", "b", "c")
-	b, ok := p.duties["b"].Yield(false, 33*s/20)
+	b, ok := p.duties["b"].Release(false, 33*s/20)
 	if !ok {
 		t.Fatal("the second does not give way")
 	}
@@ -104,22 +104,22 @@
 	p.bid(33*s/20, "a", "a", "b", "c")
 	p.holds(33*s/20, "")
 	for _, id := range p.ids {
-		p.voters[id].Release(b, 33*s/20)
+		p.voters[id].HandleRelease(b, 33*s/20)
 	}
 	for range 2 {
 		p.bid(33*s/20, "a", "a", "b", "c")
 	}
 	p.holds(33*s/20, "a")
-	if p.duties["a"].Epoch != 3 {
-		t.Fatalf("epoch %d", p.duties["a"].Epoch)
+	if p.duties["a"].ObservedEpoch != 3 {
+		t.Fatalf("epoch %d", p.duties["a"].ObservedEpoch)
 	}
 	// A release that comes late ends nothing.
-	p.voters["b"].Release(b, 34*s/20)
-	if g, _ := p.voters["b"].Take(Bid{"list", 9, "c", 1, 0}, 34*s/20); g.OK {
+	p.voters["b"].HandleRelease(b, 34*s/20)
+	if g, _ := p.voters["b"].HandleRequest(Request{"list", 9, "c", 1, 0}, 34*s/20); g.OK {
 		t.Fatal("an old release ended a newer lease")
 	}
 	// Leaving in order gives the lease back at once.
-	if _, ok := p.duties["a"].Yield(true, 35*s/20); !ok || p.duties["a"].Holds(35*s/20) {
+	if _, ok := p.duties["a"].Release(true, 35*s/20); !ok || p.duties["a"].Holds(35*s/20) {
 		t.Fatal("a leaving node keeps the duty")
 	}
 }
@@ -127,83 +127,83 @@
 // A grant rests on the disk, also where an earlier write of it is pending.
 func TestGrantsAreOnDisk(t *testing.T) {
 	v := NewVoter("v", s, nil, 0, true, 0)
-	b := Bid{"list", 1, "a", 1, 0}
-	g, write := v.Take(b, s)
+	b := Request{"list", 1, "a", 1, 0}
+	g, write := v.HandleRequest(b, s)
 	if !g.OK || write == 0 {
 		t.Fatal("a grant is answered before it is on disk")
 	}
-	if _, again := v.Take(b, s); again == 0 {
+	if _, again := v.HandleRequest(b, s); again == 0 {
 		t.Fatal("a renewal is answered while the grant is not on disk")
 	}
-	v.Kept(write - 1)
-	if _, again := v.Take(b, s); again == 0 {
+	v.MarkDurable(write - 1)
+	if _, again := v.HandleRequest(b, s); again == 0 {
 		t.Fatal("an earlier write counts for a later one")
 	}
-	v.Kept(write)
-	if g, again := v.Take(b, s); !g.OK || again != 0 {
+	v.MarkDurable(write)
+	if g, again := v.HandleRequest(b, s); !g.OK || again != 0 {
 		t.Fatal("a renewal needs the disk")
 	}
 	// Its next life forgets the leases, not the records.
 	records, _ := v.Records()
 	v = NewVoter("v", s, records, 0, true, 0)
-	if g, _ := v.Take(Bid{"list", 2, "b", 1, 0}, s-1); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 2, "b", 1, 0}, s-1); g.OK {
 		t.Fatal("a voter that just started grants another holder")
 	}
-	if g, _ := v.Take(Bid{"list", 2, "a", 2, 0}, s-1); !g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 2, "a", 2, 0}, s-1); !g.OK {
 		t.Fatal("the holder's next life waits")
 	}
-	if g, _ := v.Take(Bid{"list", 3, "a", 1, 0}, s-1); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 3, "a", 1, 0}, s-1); g.OK {
 		t.Fatal("an earlier life is granted an epoch")
 	}
-	if g, _ := v.Take(Bid{"list", 3, "b", 1, 0}, 2*s); !g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 3, "b", 1, 0}, 2*s); !g.OK {
 		t.Fatal("a lease has no end")
 	}
-	if g, _ := v.Take(Bid{"list", 3, "c", 1, 0}, 9*s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 3, "c", 1, 0}, 9*s); g.OK {
 		t.Fatal("an epoch is granted twice")
 	}
 }
 
 func TestOtherVoters(t *testing.T) {
 	v := NewVoter("v", s, nil, 0, true, 0)
-	v.Take(Bid{"list", 7, "a", 1, 0}, s)
-	v.Unsettle(true)
-	if g, _ := v.Take(Bid{"list", 7, "a", 1, 0}, s); g.OK {
+	v.HandleRequest(Request{"list", 7, "a", 1, 0}, s)
+	v.SetReconfigurationPending(true)
+	if g, _ := v.HandleRequest(Request{"list", 7, "a", 1, 0}, s); g.OK {
 		t.Fatal("renewed while other voters may be in force")
 	}
-	v.Unsettle(false)
+	v.SetReconfigurationPending(false)
 	v.SetVoters(3, true, true, s)
-	if g, _ := v.Take(Bid{"list", 8, "a", 1, 0}, s); g.OK || g.VotersSlot != 3 {
+	if g, _ := v.HandleRequest(Request{"list", 8, "a", 1, 0}, s); g.OK || g.VotersSlot != 3 {
 		t.Fatal("a bid to earlier voters is granted")
 	}
-	if g, _ := v.Take(Bid{"list", 8, "a", 1, 3}, s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 8, "a", 1, 3}, s); g.OK {
 		t.Fatal("an epoch of earlier voters is granted")
 	}
-	if g, _ := v.Take(Bid{"list", firstEpoch(3), "b", 1, 3}, s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", firstEpoch(3), "b", 1, 3}, s); g.OK {
 		t.Fatal("the lease of another ended with the earlier voters")
 	}
-	if g, _ := v.Take(Bid{"list", firstEpoch(3), "a", 1, 3}, s); !g.OK {
+	if g, _ := v.HandleRequest(Request{"list", firstEpoch(3), "a", 1, 3}, s); !g.OK {
 		t.Fatal("the holder gets no epoch of the new voters")
 	}
 	// A new voter, and one that may have been out, grant nothing for a lease.
 	for _, v := range []*Voter{NewVoter("w", s, nil, 2, false, 0), NewVoter("w", s, nil, 2, true, 0)} {
 		v.SetVoters(5, true, false, 4*s)
-		if g, _ := v.Take(Bid{"list", firstEpoch(5), "a", 1, 5}, 5*s-1); g.OK {
+		if g, _ := v.HandleRequest(Request{"list", firstEpoch(5), "a", 1, 5}, 5*s-1); g.OK {
 			t.Fatal("a new voter grants at once")
 		}
-		if g, _ := v.Take(Bid{"list", firstEpoch(5), "a", 1, 5}, 5*s); !g.OK {
+		if g, _ := v.HandleRequest(Request{"list", firstEpoch(5), "a", 1, 5}, 5*s); !g.OK {
 			t.Fatal("a new voter grants nothing")
 		}
 	}
-	d := New("list", "a", s, 0)
-	d.SetLife(1)
+	d := NewCandidate("list", "a", s, 0)
+	d.SetIncarnation(1)
 	d.SetVoters(0, []string{"a"})
-	b, _ := d.Ask(1)
-	d.Answer(b, Grant{Voter: "a", OK: true}, 1, 1)
+	b, _ := d.NextRequest(1)
+	d.OnResponse(b, Response{Voter: "a", OK: true}, 1, 1)
 	if !d.Holds(1) {
 		t.Fatal("a lone voter is no majority")
 	}
 	d.SetVoters(4, []string{"a"})
-	if b, _ := d.Ask(2); d.Holds(2) || b.Epoch != firstEpoch(4) {
+	if b, _ := d.NextRequest(2); d.Holds(2) || b.Epoch != firstEpoch(4) {
 		t.Fatal("a lease outlives the set of voters")
 	}
 }
@@ -220,12 +220,12 @@
 	if now > 5*s {
 		t.Fatalf("nobody has the duty at %v", now)
 	}
-	if p.duties["a"].Fit(now) {
+	if p.duties["a"].Eligible(now) {
 		t.Fatal("it calls itself fit")
 	}
 	for end := now + 3*s; now < end; now += s / 5 {
 		p.hear(now, "a", "b", "c")
-		if _, ok := p.duties["b"].Yield(false, now); ok {
+		if _, ok := p.duties["b"].Release(false, now); ok {
 			return
 		}
 	}
@@ -233,23 +233,23 @@
 }
 
 func TestWithoutVote(t *testing.T) {
-	d := New("list", "x", s, 0)
-	d.SetLife(1)
-	if _, ok := d.Ask(9 * s); ok {
+	d := NewCandidate("list", "x", s, 0)
+	d.SetIncarnation(1)
+	if _, ok := d.NextRequest(9 * s); ok {
 		t.Fatal("a node bids without an order")
 	}
 	d.SetVoters(1, []string{"a", "b"})
-	d.Hear("a", false, 9*s)
-	d.Hear("b", false, 9*s)
-	if _, ok := d.Ask(9 * s); ok {
+	d.OnHeartbeat("a", false, 9*s)
+	d.OnHeartbeat("b", false, 9*s)
+	if _, ok := d.NextRequest(9 * s); ok {
 		t.Fatal("a node outside the order bids")
 	}
 	d.SetVoters(2, []string{"x"})
-	d.SetLife(0)
-	if _, ok := d.Ask(9 * s); ok {
+	d.SetIncarnation(0)
+	if _, ok := d.NextRequest(9 * s); ok {
 		t.Fatal("a life that is not on disk is named in a bid")
 	}
-	if d.Silent("c", 9*s) != 9*s {
+	if d.SilentFor("c", 9*s) != 9*s {
 		t.Fatal("a node never heard is not silent from the start")
 	}
 }
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -133,7 +133,7 @@
 				say.Slot = h.teach(ip, say.Slot, h.n.heartbeat(1))
 			}
 			if err == nil && say.Slot >= 0 {
-				h.desk.post(func() { h.depot.Confirm(ip, say.Slot) })
+				h.desk.post(func() { h.depot.OnAcknowledged(ip, say.Slot) })
 			}
 			if err != nil || say.Slot < s.Slot {
 				h.chase(ip, s)
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -21,8 +21,8 @@
 
 // beat is this node's sign of life; it runs on the desk.
 func (h *hut) beat() beat {
-	b := beat{ID: h.acc.ID, IP: h.n.set().IpAddress, Slot: h.acc.State.Slot, Kept: h.acc.StateKept(), Epoch: h.duty.Epoch, Holder: h.duty.Holder, Zone: h.n.set().Zone, Leaving: h.n.leaving.Load()}
-	b.Unfit = !h.duty.Fit(h.n.steady())
+	b := beat{ID: h.acc.ID, IP: h.n.set().IpAddress, Slot: h.acc.State.Slot, Kept: h.acc.StateKept(), Epoch: h.duty.ObservedEpoch, Holder: h.duty.ObservedHolder, Zone: h.n.set().Zone, Leaving: h.n.leaving.Load()}
+	b.Unfit = !h.duty.Eligible(h.n.steady())
 	b.Fronts = h.counted
 	b.Roll = h.roll().Roll
 	b.Spent = h.course.clock.Note(h.runs, time.Now(), h.n.steady()).Spent
@@ -36,10 +36,10 @@
 func (h *hut) hear(b beat) {
 	now := h.n.steady()
 	h.others[b.IP] = hutSeen{b.ID, now, b.Leaving, b.Zone, b.Slot}
-	h.watch.Hear(b.ID, now)
+	h.watch.OnHeartbeat(b.ID, now)
 	h.hearFronts(b.Fronts, now)
-	h.duty.Hear(b.ID, !b.Leaving && !b.Unfit, now)
-	h.duty.See(b.Epoch, b.Holder)
+	h.duty.OnHeartbeat(b.ID, !b.Leaving && !b.Unfit, now)
+	h.duty.ObserveEpoch(b.Epoch, b.Holder)
 	for order, ms := range b.Spent {
 		if h.runs(order) {
 			h.course.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
@@ -50,9 +50,9 @@
 		h.rolls[b.IP] = r
 		go h.askRoll(b.IP)
 	}
-	h.depot.Confirm(b.IP, b.Kept)
-	if b.Slot < h.acc.State.Slot && h.depot.Owed(b.IP, h.acc.State.Slot) {
-		h.depot.Start(b.IP)
+	h.depot.OnAcknowledged(b.IP, b.Kept)
+	if b.Slot < h.acc.State.Slot && h.depot.NeedsHandoff(b.IP, h.acc.State.Slot) {
+		h.depot.Begin(b.IP)
 		go h.handOver(b.IP, b.Slot)
 	}
 	if t := h.table; t != nil && b.Stamp.Before(t.Stamp) {
@@ -63,7 +63,7 @@
 // handOver gives a node what it missed.
 func (h *hut) handOver(ip string, slot int64) {
 	held := h.teach(ip, slot, h.n.heartbeat(1))
-	h.desk.post(func() { h.depot.End(ip, held) })
+	h.desk.post(func() { h.depot.Finish(ip, held) })
 }
 
 // peers lists the other huts to beat to; it runs on the desk.
@@ -106,7 +106,7 @@
 func (h *hut) beatAll() {
 	var out []string
 	var b beat
-	var bid lease.Bid
+	var bid lease.Request
 	var sent time.Duration
 	known := 0
 	h.desk.ask(func() {
@@ -147,7 +147,7 @@
 	switch {
 	case b.Renews != nil && h.acc.State.Votes(o.id):
 		return true
-	case o.id == h.duty.Holder && h.acc.State.Votes(h.acc.ID):
+	case o.id == h.duty.ObservedHolder && h.acc.State.Votes(h.acc.ID):
 		return false
 	}
 	return b.IP <= ip
@@ -158,7 +158,7 @@
 func (h *hut) lone(now time.Duration) bool {
 	heard := 0
 	for _, v := range h.acc.State.Voters {
-		if v.ID == h.acc.ID || h.duty.Silent(v.ID, now) < h.n.heartbeat(2) {
+		if v.ID == h.acc.ID || h.duty.SilentFor(v.ID, now) < h.n.heartbeat(2) {
 			heard++
 		}
 	}
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -51,7 +51,7 @@
 	deltas map[endpoints.Stamp][]byte
 	// voter grants leases on duties; duty is this node's part in the one there is.
 	voter *lease.Voter
-	duty  *lease.Duty
+	duty  *lease.Candidate
 	// acting is the epoch under which this node has the duty, 0: it has not;
 	// unfit: it could not have it.
 	acting int64
@@ -61,8 +61,8 @@
 	tables map[string]tableAt
 	// taken and released wake the duty's controllers.
 	taken, released chan struct{}
-	depot           *handoff.Depot
-	watch           *membership.Watch
+	depot           *handoff.Tracker
+	watch           *membership.FailureDetector
 	fronts          map[string]frontSeen
 	// counted is how many fronts there are, before what an earlier life counted.
 	counted, before int
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hut{n: n, cellar: cel, desk: newDesk(), depot: handoff.New(), fronts: map[string]frontSeen{}, others: map[string]hutSeen{}, changed: make(chan struct{}), rolls: map[string]rollSeen{}, known: map[string]knownFront{}, keepers: map[string]time.Duration{}, purges: make(chan *purgeWait, 1024), packed: map[int64]packedVersion{}, told: map[int64]*news{}, deltas: map[endpoints.Stamp][]byte{}, gossip: gossip{said: map[int64]map[string]time.Duration{}, dark: map[int64]time.Duration{}},
+	h := &hut{n: n, cellar: cel, desk: newDesk(), depot: handoff.NewTracker(), fronts: map[string]frontSeen{}, others: map[string]hutSeen{}, changed: make(chan struct{}), rolls: map[string]rollSeen{}, known: map[string]knownFront{}, keepers: map[string]time.Duration{}, purges: make(chan *purgeWait, 1024), packed: map[int64]packedVersion{}, told: map[int64]*news{}, deltas: map[endpoints.Stamp][]byte{}, gossip: gossip{said: map[int64]map[string]time.Duration{}, dark: map[int64]time.Duration{}},
 		asked: map[string]bool{}, tables: map[string]tableAt{}, taken: make(chan struct{}, 1), released: make(chan struct{}, 1)}
 	leases := map[string]lease.Record{}
 	var id string
@@ -154,15 +154,15 @@
 	h.packedValue, h.highest = packed, h.acc.Promised.N
 	h.born = rand.Int64N(1<<40) << 10
 	h.gossip.seq = h.born
-	h.watch, h.frontsKept = membership.NewWatch(n.heartbeat(1), n.steady()), h.before
+	h.watch, h.frontsKept = membership.NewFailureDetector(n.heartbeat(1), n.steady()), h.before
 	h.unfit = true // until it has heard a majority
 	leaseDuration := n.heartbeat(1.25)
 	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acc.State.VotersSlot, h.acc.State.Votes(id), n.steady())
-	h.duty = lease.New(dutyList, id, leaseDuration, n.steady())
-	h.duty.SetLife(h.life)
-	h.duty.See(leases[dutyList].Epoch, leases[dutyList].Holder)
+	h.duty = lease.NewCandidate(dutyList, id, leaseDuration, n.steady())
+	h.duty.SetIncarnation(h.life)
+	h.duty.ObserveEpoch(leases[dutyList].Epoch, leases[dutyList].Holder)
 	if h.table != nil {
-		h.duty.See(h.table.Stamp.Epoch, h.table.Stamp.By)
+		h.duty.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.By)
 	}
 	h.setOrder()
 	h.course = newCourse(terms, n.steady())
@@ -214,7 +214,7 @@
 		ids = append(ids, v.ID)
 	}
 	slices.Sort(ids)
-	h.watch.Seat(ids, h.n.steady())
+	h.watch.SetVoters(ids, h.n.steady())
 	h.duty.SetVoters(h.acc.State.VotersSlot, ids)
 }
 
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -24,7 +24,7 @@
 // and gives it back where it is not. Renewals go with the beats.
 func (h *hut) leaseLoop() {
 	for {
-		var release, bid lease.Bid
+		var release, bid lease.Request
 		var yields, asks, holds bool
 		var to map[string]string
 		h.desk.ask(func() {
@@ -32,8 +32,8 @@
 			if h.n.leaving.Load() {
 				return
 			}
-			release, yields = h.duty.Yield(false, now)
-			if bid, asks = h.duty.Ask(now); asks {
+			release, yields = h.duty.Release(false, now)
+			if bid, asks = h.duty.NextRequest(now); asks {
 				to = h.missing(now)
 			}
 			h.noteDuty(now)
@@ -64,7 +64,7 @@
 	to := map[string]string{}
 	for _, v := range h.acc.State.Voters {
 		// A holder can do without those that are silent.
-		if h.asked[v.ID] || !h.duty.Missing(v.ID, now) || h.duty.Holds(now) && !h.duty.Live(v.ID, now) {
+		if h.asked[v.ID] || !h.duty.NeedsGrantFrom(v.ID, now) || h.duty.Holds(now) && !h.duty.Alive(v.ID, now) {
 			continue
 		}
 		h.asked[v.ID] = true
@@ -74,7 +74,7 @@
 }
 
 // bid asks one voter for the lease.
-func (h *hut) bid(b lease.Bid, id, ip string) {
+func (h *hut) bid(b lease.Request, id, ip string) {
 	var say bidSay
 	var err error
 	sent := h.n.steady()
@@ -90,7 +90,7 @@
 		}
 		h.tables[ip] = tableAt{say.Grant.Voter, b.Epoch, say.Stamp}
 		now := h.n.steady()
-		h.duty.Answer(b, say.Grant, sent, now)
+		h.duty.OnResponse(b, say.Grant, sent, now)
 		h.noteDuty(now)
 	})
 }
@@ -98,7 +98,7 @@
 // noteDuty notes where this node came to have the duty, or has it no more; it
 // runs on the desk.
 func (h *hut) noteDuty(now time.Duration) {
-	epoch, holds := h.duty.Token(now)
+	epoch, holds := h.duty.FencingToken(now)
 	switch {
 	case holds && epoch != h.acting:
 		events.Log(events.LeaseAcquired, "epoch", epoch)
@@ -108,10 +108,10 @@
 		default:
 		}
 	case !holds && h.acting != 0:
-		events.Log(events.LeaseEnded, "epoch", h.acting, "known", h.duty.Epoch, "holder", h.duty.Holder)
+		events.Log(events.LeaseEnded, "epoch", h.acting, "known", h.duty.ObservedEpoch, "holder", h.duty.ObservedHolder)
 		h.acting = 0
 	}
-	if unfit := !h.duty.Fit(now); unfit != h.unfit {
+	if unfit := !h.duty.Eligible(now); unfit != h.unfit {
 		if h.unfit = unfit; unfit {
 			events.Log(events.LeaseCandidacySuspended)
 		}
@@ -119,7 +119,7 @@
 }
 
 // release gives a lease back before its time.
-func (h *hut) release(b lease.Bid) {
+func (h *hut) release(b lease.Request) {
 	for _, v := range h.state().Voters {
 		if v.IP == h.n.set().IpAddress {
 			_, _ = h.handleBid(bidAsk{Bid: b, Release: true})
@@ -138,7 +138,7 @@
 	h.desk.ask(func() {
 		now := h.n.steady()
 		if m.Release {
-			h.voter.Release(m.Bid, now)
+			h.voter.HandleRelease(m.Bid, now)
 			select {
 			case h.released <- struct{}{}:
 			default:
@@ -158,7 +158,7 @@
 		records, write := h.voter.Records()
 		h.record(recLeases, records, func(err error) {
 			if err == nil {
-				h.desk.post(func() { h.voter.Kept(write) })
+				h.desk.post(func() { h.voter.MarkDurable(write) })
 			}
 			done <- err
 		})
@@ -172,22 +172,22 @@
 }
 
 // grant lets the voter answer; it runs on the desk.
-func (h *hut) grant(b lease.Bid, now time.Duration) (lease.Grant, int64) {
-	h.voter.Unsettle(h.acc.Value != nil && len(h.acc.Value.Voters) > 0)
-	return h.voter.Take(b, now)
+func (h *hut) grant(b lease.Request, now time.Duration) (lease.Response, int64) {
+	h.voter.SetReconfigurationPending(h.acc.Value != nil && len(h.acc.Value.Voters) > 0)
+	return h.voter.HandleRequest(b, now)
 }
 
 // renewals go with a beat of the holder; it runs on the desk.
-func (h *hut) renewals(now time.Duration) (b lease.Bid, out map[string]renewal) {
+func (h *hut) renewals(now time.Duration) (b lease.Request, out map[string]renewal) {
 	if h.n.leaving.Load() {
 		return b, nil
 	}
-	b, ok := h.duty.Ask(now)
+	b, ok := h.duty.NextRequest(now)
 	if !ok || !h.duty.Holds(now) {
 		return b, nil
 	}
 	if g, write := h.grant(b, now); write == 0 {
-		h.duty.Answer(b, g, now, now)
+		h.duty.OnResponse(b, g, now, now)
 	}
 	return b, map[string]renewal{b.Duty: {b.Epoch, b.Life, b.VotersSlot}}
 }
@@ -196,7 +196,7 @@
 // the others must be bid for. It runs on the desk.
 func (h *hut) renew(m beat) (granted []string) {
 	for duty, r := range m.Renews {
-		if g, write := h.grant(lease.Bid{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.n.steady()); g.OK && write == 0 {
+		if g, write := h.grant(lease.Request{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.n.steady()); g.OK && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
@@ -204,17 +204,17 @@
 }
 
 // renewed takes the answer to renewals sent then; it runs on the desk.
-func (h *hut) renewed(b lease.Bid, say beat, sent time.Duration) {
+func (h *hut) renewed(b lease.Request, say beat, sent time.Duration) {
 	if b.Epoch > 0 && slices.Contains(say.Granted, b.Duty) {
-		h.duty.Answer(b, lease.Grant{Voter: say.ID, OK: true}, sent, h.n.steady())
+		h.duty.OnResponse(b, lease.Response{Voter: say.ID, OK: true}, sent, h.n.steady())
 	}
 }
 
 // yield gives the duty back for good: this node leaves.
 func (h *hut) yield() {
-	var b lease.Bid
+	var b lease.Request
 	yields := false
-	h.desk.ask(func() { b, yields = h.duty.Yield(true, h.n.steady()) })
+	h.desk.ask(func() { b, yields = h.duty.Release(true, h.n.steady()) })
 	if yields {
 		h.release(b)
 	}
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -38,12 +38,12 @@
 }
 
 // sayMembers is what this node tells a judge.
-func (h *hut) sayMembers() (say membership.Say) {
+func (h *hut) sayMembers() (say membership.Report) {
 	h.desk.ask(func() {
 		now := h.n.steady()
-		say = membership.Say{ID: h.acc.ID, Slot: h.acc.State.Slot, Leaving: h.n.leaving.Load()}
+		say = membership.Report{ID: h.acc.ID, Slot: h.acc.State.Slot, Leaving: h.n.leaving.Load()}
 		for _, v := range h.acc.State.Voters {
-			if v.ID != h.acc.ID && h.watch.Silent(v.ID, now) > h.longSilence() {
+			if v.ID != h.acc.ID && h.watch.SilentFor(v.ID, now) > h.longSilence() {
 				say.Silent = append(say.Silent, v.ID)
 			}
 		}
@@ -84,7 +84,7 @@
 		}
 		err := h.n.call.CallJSON(addr, pathKeep, struct{}{}, &held, within)
 		if err == nil && held.Slot >= s.Slot {
-			h.desk.post(func() { h.depot.Confirm(ip, held.Slot) })
+			h.desk.post(func() { h.depot.OnAcknowledged(ip, held.Slot) })
 			return held, true
 		}
 		if err == nil {
@@ -115,7 +115,7 @@
 			return
 		}
 		if held := h.teach(ip, s.Slot-1, h.n.heartbeat(0.3)); held >= 0 {
-			h.desk.post(func() { h.depot.Confirm(ip, held) })
+			h.desk.post(func() { h.depot.OnAcknowledged(ip, held) })
 		}
 	}
 }
@@ -260,18 +260,18 @@
 }
 
 // canvass asks the voters and the newcomer, and judges.
-func (h *hut) canvass(m joinAsk, s consensus.State) ([]consensus.Voter, membership.Verdict) {
-	c := membership.Case{Self: h.acc.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, Held: m.Slot, Wanted: h.wanted(), Left: map[string]bool{}, Voters: []membership.Say{h.sayMembers()}}
+func (h *hut) canvass(m joinAsk, s consensus.State) ([]consensus.Voter, membership.Decision) {
+	c := membership.Admission{Self: h.acc.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, NewcomerSlot: m.Slot, TargetVoters: h.wanted(), Leaving: map[string]bool{}, VoterReports: []membership.Report{h.sayMembers()}}
 	h.desk.ask(func() {
 		for _, v := range s.Voters {
 			if o, ok := h.others[v.IP]; ok && o.id == v.ID && o.leaving {
-				c.Left[v.ID] = true
+				c.Leaving[v.ID] = true
 			}
 		}
 	})
 	type answer struct {
 		ip  string
-		say *membership.Say
+		say *membership.Report
 	}
 	ips := []string{m.IP}
 	for _, v := range s.Voters {
@@ -282,7 +282,7 @@
 	in := make(chan answer, len(ips))
 	for _, ip := range ips {
 		go func() {
-			var say membership.Say
+			var say membership.Report
 			if h.n.call.CallJSON(h.n.set().InternalAddress(ip), pathSilent, struct{}{}, &say, h.n.heartbeat(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
@@ -296,16 +296,16 @@
 		case a.say == nil:
 			continue
 		case a.ip == m.IP:
-			c.Met = a.say
+			c.NewcomerReport = a.say
 		default:
-			c.Voters = append(c.Voters, *a.say)
+			c.VoterReports = append(c.VoterReports, *a.say)
 		}
 		// What no further answer can change need not wait for those that are cut off.
-		if voters, v := c.Judge(); v == membership.Seated || v == membership.Behind || v == membership.Returns || v == membership.Grows {
+		if voters, v := c.Evaluate(); v == membership.AlreadyVoter || v == membership.EvaluatorBehind || v == membership.Rejoins || v == membership.AddsVoter {
 			return voters, v
 		}
 	}
-	return c.Judge()
+	return c.Evaluate()
 }
 
 // handleJoin gives a node a vote, if there is a place for it: the newcomer has
@@ -320,9 +320,9 @@
 		s := h.state()
 		voters, v := h.canvass(m, s)
 		switch v {
-		case membership.Seated:
+		case membership.AlreadyVoter:
 			return joinSay{Votes: h.seated(s, until), Slot: s.Slot}
-		case membership.Behind:
+		case membership.EvaluatorBehind:
 			h.round(s, nil)
 			continue
 		}
@@ -454,7 +454,7 @@
 				}
 			}
 			young := h.n.steady() <= config.Milliseconds(h.n.set().Bounds.AcknowledgeMs, 0.75)
-			enough = membership.Enough(len(s.Voters), leaving, h.standbys(), held, h.losses(), young)
+			enough = membership.EnoughVoters(len(s.Voters), leaving, h.standbys(), held, h.losses(), young)
 		})
 		if enough {
 			return true
@@ -480,7 +480,7 @@
 		time.Sleep(h.n.heartbeat(0.01))
 	}
 	p := h.handOff(at(0.66))
-	events.Log(events.DrainHandoff, "done", p.Handed(), "state", p.Kept, "table", p.Tabled, "stay", p.Others, "votes", p.Votes, "begun", p.Begun)
+	events.Log(events.DrainHandoff, "done", p.Complete(), "state", p.StateReplicas, "table", p.TableReplicas, "stay", p.StayingNodes, "votes", p.IsVoter, "begun", p.ProposalPending)
 	time.Sleep(time.Until(at(1.0 / 3)))
 	h.cellar.Close(grace / 4)
 }
@@ -503,7 +503,7 @@
 
 // handOff brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *hut) handOff(until time.Time) (p membership.Part) {
+func (h *hut) handOff(until time.Time) (p membership.HandoffProgress) {
 	finish := make(chan struct{}, 1)
 	for {
 		var s consensus.State
@@ -511,9 +511,9 @@
 		var mine beat
 		h.desk.ask(func() {
 			s, to, mine = h.acc.State, h.staying(), h.beat()
-			p = membership.Part{Begun: h.acc.Value != nil, Votes: s.Votes(h.acc.ID), Standby: h.standbys() > 0, Others: len(to), Losses: h.losses()}
+			p = membership.HandoffProgress{ProposalPending: h.acc.Value != nil, IsVoter: s.Votes(h.acc.ID), StandbyAvailable: h.standbys() > 0, StayingNodes: len(to), ToleratedFailures: h.losses()}
 		})
-		if p.Begun {
+		if p.ProposalPending {
 			select {
 			case finish <- struct{}{}:
 				go func() { h.round(s, nil); <-finish }()
@@ -538,15 +538,15 @@
 			if held == nil || held.Leaving {
 				continue
 			}
-			p.Kept++
+			p.StateReplicas++
 			if !held.Stamp.Before(mine.Stamp) && held.Fronts >= mine.Fronts {
-				p.Tabled++
+				p.TableReplicas++
 			}
-			if need := min(p.Losses+1, p.Others); p.Kept >= need && p.Tabled >= need {
+			if need := min(p.ToleratedFailures+1, p.StayingNodes); p.StateReplicas >= need && p.TableReplicas >= need {
 				break
 			}
 		}
-		if p.Handed() || !time.Now().Before(until) {
+		if p.Complete() || !time.Now().Before(until) {
 			return p
 		}
 		time.Sleep(min(h.n.heartbeat(0.05), max(0, time.Until(until))))
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -130,15 +130,15 @@
 		for {
 			h.desk.ask(func() {
 				now := h.n.steady()
-				h.watch = membership.NewWatch(time.Hour, 0)
+				h.watch = membership.NewFailureDetector(time.Hour, 0)
 				var ids []string
 				for _, v := range h.acc.State.Voters {
 					ids = append(ids, v.ID)
 				}
-				h.watch.Seat(ids, -time.Hour)
+				h.watch.SetVoters(ids, -time.Hour)
 				for _, v := range h.acc.State.Voters {
 					if v.IP != w.ip(3) {
-						h.watch.Hear(v.ID, now)
+						h.watch.OnHeartbeat(v.ID, now)
 					}
 				}
 			})
@@ -198,7 +198,7 @@
 	}
 	h.desk.ask(func() {
 		h.counted, h.frontsKept = 7, 7
-		stamp = endpoints.Stamp{Epoch: h.duty.Epoch + 5, By: h.acc.ID, Seq: 1}
+		stamp = endpoints.Stamp{Epoch: h.duty.ObservedEpoch + 5, By: h.acc.ID, Seq: 1}
 		list := []endpoints.Endpoint{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
 		table, _ := endpoints.NextTable(h.table, list, stamp)
 		h.setTable(table)
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -117,13 +117,13 @@
 
 // bidAsk asks a voter for a duty's lease, or gives it back.
 type bidAsk struct {
-	Bid     lease.Bid
+	Bid     lease.Request
 	Release bool `json:",omitempty"`
 }
 
 // bidSay is the voter's answer, and the newest table that it holds.
 type bidSay struct {
-	Grant lease.Grant
+	Grant lease.Response
 	Stamp endpoints.Stamp
 }
 
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -88,7 +88,7 @@
 	n.view = newDesk()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
-	n.way = peersampling.New(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleLarder}, 8, 3)
+	n.way = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleLarder}, 8, 3)
 	var err error
 	keeps := options.Role == RoleLarder
 	if s.HasDisk() && !keeps {
@@ -259,7 +259,7 @@
 		add(n.trail.hutIPs())
 	}
 	add(n.set().SeedIPs())
-	n.view.ask(func() { add(n.way.Huts()) })
+	n.view.ask(func() { add(n.way.ControlIPs()) })
 	return out
 }
 
@@ -269,7 +269,7 @@
 		return
 	}
 	var give []peersampling.Node
-	n.view.ask(func() { give = n.way.Answer(m.Nodes) })
+	n.view.ask(func() { give = n.way.HandleShuffle(m.Nodes) })
 	transport.WriteJSON(c, 200, shuffle{give})
 }
 
@@ -290,14 +290,14 @@
 					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
 				}
 			}
-			partner, offer, ok = n.way.Start()
+			partner, offer, ok = n.way.BeginShuffle()
 		})
 		if !ok {
 			continue
 		}
 		var got shuffle
 		if err := n.call.CallJSON(n.set().InternalAddress(partner.IP), pathShuffle, shuffle{offer}, &got, n.heartbeat(0.8)); err == nil {
-			n.view.ask(func() { n.way.Finish(partner, got.Nodes) })
+			n.view.ask(func() { n.way.FinishShuffle(partner, got.Nodes) })
 		}
 	}
 }
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -20,7 +20,7 @@
 		h.desk.ask(func() {
 			silence = h.silence()
 			if !h.n.leaving.Load() {
-				epoch, holds = h.duty.Token(h.n.steady())
+				epoch, holds = h.duty.FencingToken(h.n.steady())
 			}
 		})
 		wait := h.n.heartbeat(0.2)
@@ -58,7 +58,7 @@
 		}
 		from = held
 		for at, t := range h.tables {
-			if t.epoch == epoch && from.Before(t.stamp) && h.duty.Live(t.voter, h.n.steady()) {
+			if t.epoch == epoch && from.Before(t.stamp) && h.duty.Alive(t.voter, h.n.steady()) {
 				ip, id, from = at, t.voter, t.stamp
 			}
 		}
@@ -90,7 +90,7 @@
 		return
 	}
 	h.desk.ask(func() {
-		if now, ok := h.duty.Token(h.n.steady()); !ok || now != epoch {
+		if now, ok := h.duty.FencingToken(h.n.steady()); !ok || now != epoch {
 			events.Log(events.DiscoveryDiscarded, "epoch", epoch)
 			return
 		}
@@ -116,13 +116,13 @@
 
 // merge takes a table of another hut; it runs on the desk.
 func (h *hut) merge(t *endpoints.Table) {
-	if t.Stamp.Epoch < h.duty.Epoch && h.table != nil {
+	if t.Stamp.Epoch < h.duty.ObservedEpoch && h.table != nil {
 		if t.Stamp.Before(h.table.Stamp) {
-			events.Log(events.StaleEpochRejected, "epoch", t.Stamp.Epoch, "known", h.duty.Epoch)
+			events.Log(events.StaleEpochRejected, "epoch", t.Stamp.Epoch, "known", h.duty.ObservedEpoch)
 			return
 		}
 	}
-	h.duty.See(t.Stamp.Epoch, t.Stamp.By)
+	h.duty.ObserveEpoch(t.Stamp.Epoch, t.Stamp.By)
 	if m := endpoints.Merge(h.table, t); m != h.table {
 		h.setTable(m)
 	}
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -203,7 +203,7 @@
 	own := c.ledger.Own()
 	if !h.duty.Holds(now) {
 		for ip, o := range h.others {
-			if o.id == h.duty.Holder {
+			if o.id == h.duty.ObservedHolder {
 				to = ip
 			}
 		}
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -55,7 +55,7 @@
 		var silent []time.Duration
 		for _, v := range s.Voters {
 			st.Voters = append(st.Voters, v.ID+"@"+v.IP)
-			silent = append(silent, h.duty.Silent(v.ID, now))
+			silent = append(silent, h.duty.SilentFor(v.ID, now))
 		}
 		if slices.Sort(silent); len(silent) > 0 {
 			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
@@ -68,8 +68,8 @@
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
 			}
 		}
-		st.Epoch, st.Holder, st.Polling = h.duty.Epoch, h.duty.Holder, h.duty.Holds(now)
-		if sent, ok := h.duty.Since(); ok && st.Polling {
+		st.Epoch, st.Holder, st.Polling = h.duty.ObservedEpoch, h.duty.ObservedHolder, h.duty.Holds(now)
+		if sent, ok := h.duty.LeaseStart(); ok && st.Polling {
 			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
 		}
 		if h.table != nil {
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -390,7 +390,7 @@
 // more looks for huts in the view when those known don't answer.
 func (t *trail) more() {
 	var found []string
-	t.n.view.ask(func() { found = t.n.way.Huts() })
+	t.n.view.ask(func() { found = t.n.way.ControlIPs() })
 	found = append(found, t.n.set().SeedIPs()...)
 	t.desk.ask(func() {
 		for _, ip := range found {
--- a/internal/membership/bivouac_test.go
+++ b/internal/membership/bivouac_test.go
@@ -12,33 +12,33 @@
 // A voter that was frozen has no opinion of others, neither before nor right
 // after it noticed; a new voter is not silent from before its vote.
 func TestOwnFreezeIsNobodysSilence(t *testing.T) {
-	w := NewWatch(s, 0)
-	w.Seat([]string{"a", "b"}, 0)
+	w := NewFailureDetector(s, 0)
+	w.SetVoters([]string{"a", "b"}, 0)
 	for at := s / 2; at <= 4*s; at += s / 2 {
-		w.Hear("a", at)
+		w.OnHeartbeat("a", at)
 		if w.Tick(at) {
 			t.Fatal("a freeze was seen where there was none")
 		}
 	}
-	if w.Silent("a", 4*s) != 0 || w.Silent("b", 4*s) != 4*s {
-		t.Fatalf("silence: a %v, b %v", w.Silent("a", 4*s), w.Silent("b", 4*s))
+	if w.SilentFor("a", 4*s) != 0 || w.SilentFor("b", 4*s) != 4*s {
+		t.Fatalf("silence: a %v, b %v", w.SilentFor("a", 4*s), w.SilentFor("b", 4*s))
 	}
 	// It freezes until 20 s. A judge asks before its loop ran.
-	if w.Silent("a", 20*s) != 0 || w.Silent("b", 20*s) != 0 {
+	if w.SilentFor("a", 20*s) != 0 || w.SilentFor("b", 20*s) != 0 {
 		t.Fatal("a node that did not run calls others silent")
 	}
 	if !w.Tick(20 * s) {
 		t.Fatal("the freeze went unnoticed")
 	}
 	w.Tick(20*s + s/2)
-	if got := w.Silent("b", 20*s+s/2); got != s/2 {
+	if got := w.SilentFor("b", 20*s+s/2); got != s/2 {
 		t.Fatalf("silence counts from the wake-up: %v", got)
 	}
-	w.Seat([]string{"a", "c"}, 20*s+s/2)
-	if got := w.Silent("c", 21*s); got != s/2 {
+	w.SetVoters([]string{"a", "c"}, 20*s+s/2)
+	if got := w.SilentFor("c", 21*s); got != s/2 {
 		t.Fatalf("a new voter's silence: %v", got)
 	}
-	if w.Silent("b", 21*s) != 0 {
+	if w.SilentFor("b", 21*s) != 0 {
 		t.Fatal("one that votes no more is called silent")
 	}
 }
@@ -51,9 +51,9 @@
 	return st
 }
 
-func says(silent string, ids ...string) (out []Say) {
+func says(silent string, ids ...string) (out []Report) {
 	for _, id := range ids {
-		x := Say{ID: id, Slot: 7}
+		x := Report{ID: id, Slot: 7}
 		if silent != "" {
 			x.Silent = []string{silent}
 		}
@@ -64,53 +64,53 @@
 
 func TestWhoTakesWhosePlace(t *testing.T) {
 	base := state(7, "a1", "b1", "c1")
-	met := &Say{ID: "n1"}
+	met := &Report{ID: "n1"}
 	newcomer := consensus.Voter{ID: "n1", IP: "ip-n"}
 	for _, x := range []struct {
 		name string
-		c    Case
-		want Verdict
+		c    Admission
+		want Decision
 		out  string
 	}{
-		{"a judge alone with its timer", Case{Voters: says("c1", "a1"), Met: met}, Apart, ""},
-		{"only the judge calls it silent", Case{Voters: append(says("c1", "a1"), says("", "b1")...), Met: met}, Full, ""},
-		{"only the other does", Case{Voters: append(says("", "a1"), says("c1", "b1")...), Met: met}, Full, ""},
-		{"a majority does", Case{Voters: says("c1", "a1", "b1"), Met: met}, Replaces, "c1"},
-		{"a majority does, but it answers", Case{Voters: append(says("c1", "a1", "b1"), says("", "c1")...), Met: met}, Full, ""},
-		{"strangers don't count", Case{Voters: append(says("c1", "a1"), says("c1", "x1", "y1")...), Met: met}, Apart, ""},
-		{"it left", Case{Voters: says("", "a1", "b1"), Left: map[string]bool{"c1": true}, Met: met}, Follows, "c1"},
-		{"it left and is back", Case{Voters: says("", "a1", "b1", "c1"), Left: map[string]bool{"c1": true}, Met: met}, Full, ""},
-		{"it says that it leaves", Case{Voters: append(says("", "a1", "b1"), Say{ID: "c1", Leaving: true}), Met: met}, Follows, "c1"},
-		{"the judge leaves", Case{Voters: append(says("", "b1"), Say{ID: "a1", Leaving: true}), Left: map[string]bool{"c1": true}, Met: met}, Unfit, ""},
-		{"the judge has no vote", Case{Self: "z1", Voters: says("c1", "z1", "a1", "b1"), Met: met}, Unfit, ""},
-		{"the newcomer leaves", Case{Voters: says("c1", "a1", "b1"), Met: &Say{ID: "n1", Leaving: true}}, Unmet, ""},
-		{"the newcomer is gone", Case{Voters: says("c1", "a1", "b1")}, Unmet, ""},
-		{"somebody knows more", Case{Voters: append(says("c1", "a1"), Say{ID: "b1", Slot: 8}), Met: met}, Behind, ""},
-		{"a further voter", Case{Wanted: 5, Voters: says("", "a1", "b1"), Met: met}, Grows, ""},
+		{"a judge alone with its timer", Admission{VoterReports: says("c1", "a1"), NewcomerReport: met}, NoQuorum, ""},
+		{"only the judge calls it silent", Admission{VoterReports: append(says("c1", "a1"), says("", "b1")...), NewcomerReport: met}, NoVacancy, ""},
+		{"only the other does", Admission{VoterReports: append(says("", "a1"), says("c1", "b1")...), NewcomerReport: met}, NoVacancy, ""},
+		{"a majority does", Admission{VoterReports: says("c1", "a1", "b1"), NewcomerReport: met}, ReplacesSilent, "c1"},
+		{"a majority does, but it answers", Admission{VoterReports: append(says("c1", "a1", "b1"), says("", "c1")...), NewcomerReport: met}, NoVacancy, ""},
+		{"strangers don't count", Admission{VoterReports: append(says("c1", "a1"), says("c1", "x1", "y1")...), NewcomerReport: met}, NoQuorum, ""},
+		{"it left", Admission{VoterReports: says("", "a1", "b1"), Leaving: map[string]bool{"c1": true}, NewcomerReport: met}, ReplacesLeaving, "c1"},
+		{"it left and is back", Admission{VoterReports: says("", "a1", "b1", "c1"), Leaving: map[string]bool{"c1": true}, NewcomerReport: met}, NoVacancy, ""},
+		{"it says that it leaves", Admission{VoterReports: append(says("", "a1", "b1"), Report{ID: "c1", Leaving: true}), NewcomerReport: met}, ReplacesLeaving, "c1"},
+		{"the judge leaves", Admission{VoterReports: append(says("", "b1"), Report{ID: "a1", Leaving: true}), Leaving: map[string]bool{"c1": true}, NewcomerReport: met}, EvaluatorIneligible, ""},
+		{"the judge has no vote", Admission{Self: "z1", VoterReports: says("c1", "z1", "a1", "b1"), NewcomerReport: met}, EvaluatorIneligible, ""},
+		{"the newcomer leaves", Admission{VoterReports: says("c1", "a1", "b1"), NewcomerReport: &Report{ID: "n1", Leaving: true}}, NewcomerUnverified, ""},
+		{"the newcomer is gone", Admission{VoterReports: says("c1", "a1", "b1")}, NewcomerUnverified, ""},
+		{"somebody knows more", Admission{VoterReports: append(says("c1", "a1"), Report{ID: "b1", Slot: 8}), NewcomerReport: met}, EvaluatorBehind, ""},
+		{"a further voter", Admission{TargetVoters: 5, VoterReports: says("", "a1", "b1"), NewcomerReport: met}, AddsVoter, ""},
 	} {
 		if x.c.Self == "" {
 			x.c.Self = "a1"
 		}
-		if x.c.Wanted == 0 {
-			x.c.Wanted = 3
+		if x.c.TargetVoters == 0 {
+			x.c.TargetVoters = 3
 		}
 		x.c.Base, x.c.Newcomer = base, newcomer
-		voters, got := x.c.Judge()
+		voters, got := x.c.Evaluate()
 		if got != x.want {
 			t.Errorf("%s: %v, not %v", x.name, got, x.want)
 		}
 		next := consensus.State{Voters: voters}
-		if placed := got >= Returns; placed != next.Votes("n1") || x.out != "" && next.Votes(x.out) {
+		if placed := got >= Rejoins; placed != next.Votes("n1") || x.out != "" && next.Votes(x.out) {
 			t.Errorf("%s: %v", x.name, voters)
 		}
 	}
 	// Five voters, two silent: three of them must say so.
-	five := Case{Self: "a1", Base: state(7, "a1", "b1", "c1", "d1", "e1"), Newcomer: newcomer, Wanted: 5, Met: met, Voters: append(says("e1", "a1", "b1"), says("", "c1")...)}
-	if _, v := five.Judge(); v != Full {
+	five := Admission{Self: "a1", Base: state(7, "a1", "b1", "c1", "d1", "e1"), Newcomer: newcomer, TargetVoters: 5, NewcomerReport: met, VoterReports: append(says("e1", "a1", "b1"), says("", "c1")...)}
+	if _, v := five.Evaluate(); v != NoVacancy {
 		t.Errorf("two of five: %v", v)
 	}
-	five.Voters = says("e1", "a1", "b1", "c1")
-	if _, v := five.Judge(); v != Replaces {
+	five.VoterReports = says("e1", "a1", "b1", "c1")
+	if _, v := five.Evaluate(); v != ReplacesSilent {
 		t.Errorf("three of five: %v", v)
 	}
 }
@@ -118,27 +118,27 @@
 // A disk lost twice at one address: of the identities only the one that lives
 // there gets the place, however late the other's call is judged.
 func TestDiskLostTwice(t *testing.T) {
-	c := Case{Self: "a1", Base: state(7, "a1", "b1", "c1"), Wanted: 3, Newcomer: consensus.Voter{ID: "c2", IP: "ip-c"}, Voters: says("", "a1", "b1"), Met: &Say{ID: "c3"}}
-	if _, v := c.Judge(); v != Unmet {
+	c := Admission{Self: "a1", Base: state(7, "a1", "b1", "c1"), TargetVoters: 3, Newcomer: consensus.Voter{ID: "c2", IP: "ip-c"}, VoterReports: says("", "a1", "b1"), NewcomerReport: &Report{ID: "c3"}}
+	if _, v := c.Evaluate(); v != NewcomerUnverified {
 		t.Fatalf("an identity that is gone: %v", v)
 	}
 	c.Newcomer.ID = "c3"
-	voters, v := c.Judge()
-	if v != Returns {
+	voters, v := c.Evaluate()
+	if v != Rejoins {
 		t.Fatalf("the one that lives there: %v", v)
 	}
 	c.Base = consensus.State{Slot: 8, Voters: voters}
 	c.Newcomer.ID = "c2"
-	if _, v := c.Judge(); v != Unmet {
+	if _, v := c.Evaluate(); v != NewcomerUnverified {
 		t.Fatalf("the late call of the first takes the place again: %v", v)
 	}
 	// Nor where it met the newcomer in time, and the voters changed meanwhile.
-	c.Met, c.Base.VotersSlot, c.Held = &Say{ID: "c2"}, 8, 7
-	if _, v := c.Judge(); v != Late {
+	c.NewcomerReport, c.Base.VotersSlot, c.NewcomerSlot = &Report{ID: "c2"}, 8, 7
+	if _, v := c.Evaluate(); v != NewcomerBehind {
 		t.Fatalf("a call from before the last change of voters: %v", v)
 	}
-	c.Held = 8
-	if _, v := c.Judge(); v != Returns {
+	c.NewcomerSlot = 8
+	if _, v := c.Evaluate(); v != Rejoins {
 		t.Fatalf("it caught up and asks again: %v", v)
 	}
 }
@@ -147,9 +147,9 @@
 // got it dies, and the other has the place once it has been silent for long.
 func TestTwoForOnePlace(t *testing.T) {
 	base := state(7, "a1", "b1", "c1")
-	judge := func(self, id string, base consensus.State, silent string) ([]consensus.Voter, Verdict) {
+	judge := func(self, id string, base consensus.State, silent string) ([]consensus.Voter, Decision) {
 		// It has caught up with the last change of voters.
-		return Case{Self: self, Base: base, Wanted: 3, Newcomer: consensus.Voter{ID: id, IP: "ip-" + id}, Held: base.VotersSlot, Met: &Say{ID: id}, Voters: says(silent, "a1", "b1")}.Judge()
+		return Admission{Self: self, Base: base, TargetVoters: 3, Newcomer: consensus.Voter{ID: id, IP: "ip-" + id}, NewcomerSlot: base.VotersSlot, NewcomerReport: &Report{ID: id}, VoterReports: says(silent, "a1", "b1")}.Evaluate()
 	}
 	m, _ := judge("a1", "m1", base, "c1")
 	n, _ := judge("b1", "n1", base, "c1")
@@ -159,25 +159,25 @@
 	// Both propose for slot 8: one is chosen there, the other judges anew on it.
 	next := base.Apply(consensus.Value{Voters: m})
 	next.Slot = 7 // what says() answers with
-	if v, why := judge("b1", "n1", next, ""); v != nil || why != Full {
+	if v, why := judge("b1", "n1", next, ""); v != nil || why != NoVacancy {
 		t.Fatalf("the second got a place as well: %v", why)
 	}
-	w := NewWatch(s, 0)
-	w.Seat([]string{"b1", "c1"}, 0)
+	w := NewFailureDetector(s, 0)
+	w.SetVoters([]string{"b1", "c1"}, 0)
 	for at := s / 2; at <= 9*s; at += s / 2 {
 		w.Tick(at)
-		w.Hear("b1", at)
+		w.OnHeartbeat("b1", at)
 	}
-	w.Seat([]string{"b1", "m1"}, 9*s)
-	if w.Silent("m1", 9*s+s/2) > s {
+	w.SetVoters([]string{"b1", "m1"}, 9*s)
+	if w.SilentFor("m1", 9*s+s/2) > s {
 		t.Fatal("a voter of half a second is silent for long")
 	}
 	w.Tick(10 * s)
 	w.Tick(11 * s)
-	if w.Silent("m1", 11*s+s/2) < 2*s {
+	if w.SilentFor("m1", 11*s+s/2) < 2*s {
 		t.Fatal("a newcomer that died right after its vote is never missed")
 	}
-	if v, why := judge("b1", "n1", next, "m1"); v == nil || why != Replaces {
+	if v, why := judge("b1", "n1", next, "m1"); v == nil || why != ReplacesSilent {
 		t.Fatalf("the one that stood by does not follow: %v", why)
 	}
 }
@@ -249,7 +249,7 @@
 		{"one of five leaves, three have it", 5, 1, 0, 3, 2, false, true},
 		{"all leave", 3, 3, 0, 0, 1, false, true},
 	} {
-		if got := Enough(x.voters, x.leaving, x.standby, x.held, x.losses, x.young); got != x.want {
+		if got := EnoughVoters(x.voters, x.leaving, x.standby, x.held, x.losses, x.young); got != x.want {
 			t.Errorf("%s: %v", x.name, got)
 		}
 	}
@@ -258,18 +258,18 @@
 func TestHanded(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		p    Part
+		p    HandoffProgress
 		want bool
 	}{
-		{"nobody stays", Part{Losses: 1, Votes: true}, true},
-		{"on one of two disks", Part{Losses: 1, Others: 2, Kept: 1, Tabled: 2}, false},
-		{"the table is missing", Part{Losses: 1, Others: 2, Kept: 2, Tabled: 1}, false},
-		{"an outcome is open", Part{Losses: 1, Others: 2, Kept: 2, Tabled: 2, Begun: true}, false},
-		{"a successor could vote", Part{Losses: 1, Others: 3, Kept: 2, Tabled: 2, Votes: true, Standby: true}, false},
-		{"it votes no more", Part{Losses: 1, Others: 3, Kept: 2, Tabled: 2, Standby: true}, true},
-		{"nobody could follow", Part{Losses: 1, Others: 2, Kept: 2, Tabled: 2, Votes: true}, true},
+		{"nobody stays", HandoffProgress{ToleratedFailures: 1, IsVoter: true}, true},
+		{"on one of two disks", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 1, TableReplicas: 2}, false},
+		{"the table is missing", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 1}, false},
+		{"an outcome is open", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, ProposalPending: true}, false},
+		{"a successor could vote", HandoffProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, IsVoter: true, StandbyAvailable: true}, false},
+		{"it votes no more", HandoffProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, StandbyAvailable: true}, true},
+		{"nobody could follow", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, IsVoter: true}, true},
 	} {
-		if x.p.Handed() != x.want {
+		if x.p.Complete() != x.want {
 			t.Errorf("%s: %v", x.name, !x.want)
 		}
 	}
--- a/internal/peersampling/waymark.go
+++ b/internal/peersampling/waymark.go
@@ -24,14 +24,14 @@
 	sent  []Node
 }
 
-// New makes a view that holds at most size entries and shuffles swap of them.
-func New(self Node, size, swap int) *View { return &View{Self: self, size: size, swap: swap} }
+// NewView makes a view that holds at most size entries and shuffles swap of them.
+func NewView(self Node, size, swap int) *View { return &View{Self: self, size: size, swap: swap} }
 
 // Nodes lists the entries.
 func (v *View) Nodes() []Node { return append([]Node(nil), v.nodes...) }
 
-// Huts lists the IPs of the known nodes that keep state, youngest entry first.
-func (v *View) Huts() []string {
+// ControlIPs lists the IPs of the known nodes that keep state, youngest entry first.
+func (v *View) ControlIPs() []string {
 	l := v.Nodes()
 	sort.SliceStable(l, func(i, j int) bool { return l[i].Age < l[j].Age })
 	var out []string
@@ -56,10 +56,10 @@
 	}
 }
 
-// Start begins a shuffle: everything ages, the oldest entry becomes the
+// BeginShuffle begins a shuffle: everything ages, the oldest entry becomes the
 // partner and leaves the view, and some entries go to it with a fresh one of
 // this node.
-func (v *View) Start() (partner Node, offer []Node, ok bool) {
+func (v *View) BeginShuffle() (partner Node, offer []Node, ok bool) {
 	if len(v.nodes) == 0 {
 		return Node{}, nil, false
 	}
@@ -77,15 +77,15 @@
 	return partner, offer, true
 }
 
-// Answer takes a partner's offer and gives entries in return.
-func (v *View) Answer(offer []Node) []Node {
+// HandleShuffle takes a partner's offer and gives entries in return.
+func (v *View) HandleShuffle(offer []Node) []Node {
 	give := v.pick(v.swap, "")
 	v.merge(offer, give)
 	return give
 }
 
-// Finish takes what the partner gave; the partner itself is alive and comes back in.
-func (v *View) Finish(partner Node, got []Node) {
+// FinishShuffle takes what the partner gave; the partner itself is alive and comes back in.
+func (v *View) FinishShuffle(partner Node, got []Node) {
 	partner.Age = 0
 	v.merge(append([]Node{partner}, got...), v.sent)
 	v.sent = nil
--- a/internal/peersampling/waymark_test.go
+++ b/internal/peersampling/waymark_test.go
@@ -12,7 +12,7 @@
 	for i := 0; i < 12; i++ {
 		ip := fmt.Sprintf("10.0.0.%d", i)
 		ips = append(ips, ip)
-		views[ip] = New(Node{Name: ip, IP: ip, Hut: i < 3}, 6, 3)
+		views[ip] = NewView(Node{Name: ip, IP: ip, Hut: i < 3}, 6, 3)
 		views[ip].Add(Node{Name: "seed", IP: "10.0.0.0", Hut: true})
 	}
 	round := func(dead string) {
@@ -20,11 +20,11 @@
 			if ip == dead {
 				continue
 			}
-			p, offer, ok := views[ip].Start()
+			p, offer, ok := views[ip].BeginShuffle()
 			if !ok || p.IP == dead {
 				continue
 			}
-			views[ip].Finish(p, views[p.IP].Answer(offer))
+			views[ip].FinishShuffle(p, views[p.IP].HandleShuffle(offer))
 		}
 	}
 	for i := 0; i < 30; i++ {
