--- a/internal/consensus/keeper.go
+++ b/internal/consensus/keeper.go
@@ -30,7 +30,7 @@
 
 // Vote answers an Ask; the answer may leave once mark needs is Kept.
 func (k *Keeper) Vote(m Ask) (say Say, needs int64) {
-	say, changed := k.Take(m)
+	say, changed := k.Acceptor.Take(m)
 	if changed {
 		k.mark++
 	}
