--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -12,7 +12,7 @@
 // backOff backs off for a random part of the time for an acknowledgement.
 func (h *ControlServer) backOff(try int) {
 	most := 0.008 * float64(min(try+1, 6))
-	time.Sleep(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
+	time.Sleep(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
 }
 
 // propose runs one ballot on the slot after base, the state that own was made
@@ -60,10 +60,10 @@
 			go func() {
 				var x heard
 				var say ConsensusResponse
-				if v.IP == h.host.set().IpAddress {
+				if v.IP == h.host.Settings().IpAddress {
 					say, x.err = h.handleConsensus(m)
 				} else {
-					x.err = h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathConsensus, m, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), PathConsensus, m, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
 					x.say, x.err = h.unpackResponse(base, say)
@@ -104,9 +104,9 @@
 	var seen consensus.Ballot
 	for {
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
-		case <-time.After(time.Duration(float64(h.host.heartbeat(0.4)) * (0.75 + rand.Float64()/2))):
+		case <-time.After(time.Duration(float64(h.host.Heartbeats(0.4)) * (0.75 + rand.Float64()/2))):
 		}
 		var s consensus.State
 		var now consensus.Ballot
@@ -127,10 +127,10 @@
 	for _, ip := range to {
 		go func() {
 			var say LearnResponse
-			addr := h.host.set().InternalAddress(ip)
-			err := h.host.call.CallJSON(addr, PathLearn, LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.heartbeat(1))
+			addr := h.host.Settings().InternalAddress(ip)
+			err := h.host.Client.CallJSON(addr, PathLearn, LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.Heartbeats(1))
 			if err == nil && say.Slot < s.Slot {
-				say.Slot = h.sendState(ip, say.Slot, h.host.heartbeat(1))
+				say.Slot = h.sendState(ip, say.Slot, h.host.Heartbeats(1))
 			}
 			if err == nil && say.Slot >= 0 {
 				h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, say.Slot) })
@@ -151,7 +151,7 @@
 func (h *ControlServer) readQuorum(within time.Duration) (consensus.State, bool) {
 	until := time.Now().Add(within)
 	for try := 0; ; try++ {
-		began := h.host.steady()
+		began := h.host.Now()
 		s := h.State()
 		if h.isolated() {
 			return s, false
@@ -160,9 +160,9 @@
 		for _, v := range s.Voters {
 			go func() {
 				var say PeekResponse
-				if v.IP == h.host.set().IpAddress {
+				if v.IP == h.host.Settings().IpAddress {
 					h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
-				} else if h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathPeek, struct{}{}, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.2)) != nil {
+				} else if h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), PathPeek, struct{}{}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
@@ -182,7 +182,7 @@
 		if known >= len(s.Voters)/2+1 && known > 0 {
 			// Whatever froze this node since it asked, the answer rests on a
 			// majority's word that is no older than this.
-			if !begun && !ahead && h.host.steady()-began < config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, maxReadQuorumAge) {
+			if !begun && !ahead && h.host.Now()-began < config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, maxReadQuorumAge) {
 				return s, true
 			}
 			h.propose(s, nil)
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -54,7 +54,7 @@
 	h.loop.Call(func() {
 		if v := m.Value; v != nil && v.Body == "" && m.Packed != nil && m.Slot == h.acceptor.State.Slot+1 {
 			whole := *v
-			if whole.Body, err = UnpackDelta(h.acceptor.State.Body, m.Packed, h.host.maxMessage()); err != nil {
+			if whole.Body, err = UnpackDelta(h.acceptor.State.Body, m.Packed, h.host.MaxMessageBytes()); err != nil {
 				done <- err
 				return
 			}
@@ -88,7 +88,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.5)):
+	case <-time.After(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.5)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
@@ -98,7 +98,7 @@
 // whole again.
 func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Say, error) {
 	if say.Value != nil && say.Packed != nil {
-		body, err := UnpackDelta(base.Body, say.Packed, h.host.maxMessage())
+		body, err := UnpackDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Say, err
 		}
@@ -107,7 +107,7 @@
 		say.Value = &whole
 	}
 	if say.News != nil {
-		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.maxMessage())
+		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Say, err
 		}
@@ -183,7 +183,7 @@
 			return "", false
 		}
 		return h.pastBodies[at].Body, true
-	}, h.host.maxMessage())
+	}, h.host.MaxMessageBytes())
 	if err != nil {
 		events.Log(events.MessageRejected, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
 		return false
@@ -231,7 +231,7 @@
 			m.News = h.stateDelta(from)
 		})
 		var say LearnResponse
-		if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathLearn, m, &say, time.Until(until)) != nil {
+		if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
 		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -21,11 +21,11 @@
 
 // heartbeat is this node's sign of life; it runs on the desk.
 func (h *ControlServer) heartbeat() Heartbeat {
-	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.set().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.StateKept(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.set().Zone, Leaving: h.host.leaving.Load()}
-	b.Unfit = !h.pollLease.Eligible(h.host.steady())
+	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.StateKept(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Leaving: h.host.Draining.Load()}
+	b.Unfit = !h.pollLease.Eligible(h.host.Now())
 	b.Fronts = h.frontCount
 	b.Roll = h.frontRoster().Roll
-	b.Spent = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.steady()).Spent
+	b.Spent = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.Now()).Spent
 	if h.table != nil {
 		b.Stamp = h.table.Stamp
 	}
@@ -34,7 +34,7 @@
 
 // onHeartbeat takes another hut's sign of life; it runs on the desk.
 func (h *ControlServer) onHeartbeat(b Heartbeat) {
-	now := h.host.steady()
+	now := h.host.Now()
 	h.peers[b.IP] = peerState{b.ID, now, b.Leaving, b.Zone, b.Slot}
 	h.detector.OnHeartbeat(b.ID, now)
 	h.onFrontCount(b.Fronts, now)
@@ -62,13 +62,13 @@
 
 // handOff gives a node what it missed.
 func (h *ControlServer) handOff(ip string, slot int64) {
-	held := h.sendState(ip, slot, h.host.heartbeat(1))
+	held := h.sendState(ip, slot, h.host.Heartbeats(1))
 	h.loop.Submit(func() { h.handoff.Finish(ip, held) })
 }
 
 // peerIPs lists the other huts to beat to; it runs on the desk.
 func (h *ControlServer) peerIPs() []string {
-	self := h.host.set().IpAddress
+	self := h.host.Settings().IpAddress
 	var out []string
 	add := func(ip string) {
 		if ip != self && ip != "" && !slices.Contains(out, ip) {
@@ -78,9 +78,9 @@
 	for _, v := range h.acceptor.State.Voters {
 		add(v.IP)
 	}
-	now := h.host.steady()
+	now := h.host.Now()
 	for ip, o := range h.peers {
-		if now-o.heardAt < config.Milliseconds(h.host.set().Bounds.InTouchMs, 1) {
+		if now-o.heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
 			add(ip)
 		} else if !slices.Contains(out, ip) {
 			delete(h.peers, ip)
@@ -96,9 +96,9 @@
 		h.loop.Call(h.detectorTick)
 		h.sendHeartbeats()
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
-		case <-time.After(h.host.heartbeat(0.4)):
+		case <-time.After(h.host.Heartbeats(0.4)):
 		}
 	}
 }
@@ -110,14 +110,14 @@
 	var sent time.Duration
 	known := 0
 	h.loop.Call(func() {
-		sent = h.host.steady()
+		sent = h.host.Now()
 		b = h.heartbeat()
 		bid, b.Renews = h.leaseRenewals(sent)
 		for _, ip := range h.peerIPs() {
 			// A beat's answer is one as well: of two that hear each other, one
 			// sends. A holder sends to all voters, as its renewals go along.
 			o, ok := h.peers[ip]
-			if ok && sent-o.heardAt < h.host.heartbeat(0.6) && !b.Leaving && !h.initiatesHeartbeat(b, ip, o) {
+			if ok && sent-o.heardAt < h.host.Heartbeats(0.6) && !b.Leaving && !h.initiatesHeartbeat(b, ip, o) {
 				known++
 				continue
 			}
@@ -125,17 +125,17 @@
 		}
 	})
 	if len(out)+known == 0 {
-		out = slices.DeleteFunc(h.host.huts(), func(ip string) bool { return ip == h.host.set().IpAddress })
+		out = slices.DeleteFunc(h.host.ControlIPs(), func(ip string) bool { return ip == h.host.Settings().IpAddress })
 	}
 	for _, ip := range out {
 		go func() {
 			var say Heartbeat
-			if err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathHeartbeat, b, &say, h.host.heartbeat(0.8)); err == nil {
+			if err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathHeartbeat, b, &say, h.host.Heartbeats(0.8)); err == nil {
 				h.loop.Submit(func() {
 					h.onHeartbeat(say)
 					h.onRenewals(bid, say, sent)
 				})
-				h.host.view.Submit(func() { h.host.way.Add(peersampling.Node{Name: say.ID, IP: say.IP, Hut: true}) })
+				h.host.ViewLoop.Submit(func() { h.host.View.Add(peersampling.Node{Name: say.ID, IP: say.IP, Hut: true}) })
 			}
 		}()
 	}
@@ -158,7 +158,7 @@
 func (h *ControlServer) lacksMajority(now time.Duration) bool {
 	heard := 0
 	for _, v := range h.acceptor.State.Voters {
-		if v.ID == h.acceptor.ID || h.pollLease.SilentFor(v.ID, now) < h.host.heartbeat(2) {
+		if v.ID == h.acceptor.ID || h.pollLease.SilentFor(v.ID, now) < h.host.Heartbeats(2) {
 			heard++
 		}
 	}
@@ -168,6 +168,6 @@
 // isolated is lone for whoever is not on the desk. Such a hut says so at once,
 // and its callers go on to another.
 func (h *ControlServer) isolated() (yes bool) {
-	h.loop.Call(func() { yes = h.lacksMajority(h.host.steady()) })
+	h.loop.Call(func() { yes = h.lacksMajority(h.host.Now()) })
 	return yes
 }
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -28,7 +28,7 @@
 func (t *FrontServer) setCacheNodes(list []consensus.Larder) {
 	old := t.cacheNodes.Load()
 	now := &cacheNodeList{list: list}
-	now.member = slices.ContainsFunc(list, func(l consensus.Larder) bool { return l.IP == t.host.set().IpAddress })
+	now.member = slices.ContainsFunc(list, func(l consensus.Larder) bool { return l.IP == t.host.Settings().IpAddress })
 	switch {
 	case !now.member:
 	case old == nil:
@@ -37,7 +37,7 @@
 	case old.member:
 		now.since, now.inherited = old.since, old.inherited
 	default:
-		now.since = t.host.steady()
+		now.since = t.host.Now()
 	}
 	t.cacheNodes.Store(now)
 	if t.cacheNode {
@@ -64,17 +64,17 @@
 	if l == nil {
 		return 0, false
 	}
-	now := t.host.steady()
-	if now-time.Duration(t.majorityHeardAt.Load()) > config.Seconds(t.host.set().Bounds.CatchUpS, MaxSilenceBeforePause) {
+	now := t.host.Now()
+	if now-time.Duration(t.majorityHeardAt.Load()) > config.Seconds(t.host.Settings().Bounds.CatchUpS, MaxSilenceBeforePause) {
 		return 0, false
 	}
 	if t.cacheNode {
-		if !l.member || !l.inherited && now-l.since < t.host.heartbeat(2) {
+		if !l.member || !l.inherited && now-l.since < t.host.Heartbeats(2) {
 			return 0, false
 		}
 		return 1 / float64(len(l.list)), true
 	}
-	if len(l.list) > 0 || now < t.host.heartbeat(4) {
+	if len(l.list) > 0 || now < t.host.Heartbeats(4) {
 		return 0, false
 	}
 	return frontFetchShare / float64(max(1, t.frontCount.Load())), true
@@ -86,7 +86,7 @@
 	deadline := time.Now().Add(w.Left)
 	l := t.cacheNodes.Load()
 	if l == nil {
-		return frontend.Brought{Status: 503, Back: t.host.heartbeat(0.2)}
+		return frontend.Brought{Status: 503, Back: t.host.Heartbeats(0.2)}
 	}
 	if len(l.list) == 0 {
 		return t.fetchSelf(w)
@@ -103,9 +103,9 @@
 			return frontend.Brought{Status: 504}
 		}
 		if at >= 2*len(order) {
-			return frontend.Brought{Status: 503, Back: min(t.host.heartbeat(0.5), left/4)}
+			return frontend.Brought{Status: 503, Back: min(t.host.Heartbeats(0.5), left/4)}
 		}
-		wait := min(left, max(w.Aim*3/4, t.host.heartbeat(0.2)))
+		wait := min(left, max(w.Aim*3/4, t.host.Heartbeats(0.2)))
 		to := order[at%len(order)]
 		got, err := t.fetchFrom(to, w, left, wait)
 		t.cacheNodeHealth.Done(to.IP, err == nil, time.Now())
@@ -123,8 +123,8 @@
 
 func (t *FrontServer) fetchFrom(to consensus.Larder, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
-	began := t.host.steady()
-	rep, err := t.host.call.Do(t.host.set().InternalAddress(to.IP), "POST", PathCacheFetch, nil, Encode("larder", a), min(left, wait+max(w.Aim/2, t.host.heartbeat(0.2))))
+	began := t.host.Now()
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", PathCacheFetch, nil, Encode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
 	if err != nil {
 		return frontend.Brought{}, err
 	}
@@ -156,14 +156,14 @@
 	if r == nil {
 		return frontend.Brought{Status: 503}
 	}
-	began := t.host.steady()
+	began := t.host.Now()
 	left := w.Left.Milliseconds()
 	s, body := t.fetcher.Get(CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, LeftMs: left, WaitMs: left, AimMs: w.Aim.Milliseconds(), Again: w.Again}, r.Lifetime, r.Sends)
 	switch s.Status {
 	case 202:
 		s.Status = 504
 	case StatusNoQuota:
-		s.Status, s.BackMs = 503, min(t.host.heartbeat(0.5).Milliseconds(), left/4)
+		s.Status, s.BackMs = 503, min(t.host.Heartbeats(0.5).Milliseconds(), left/4)
 	}
 	return fetchResult(w, s, body, began)
 }
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -53,22 +53,22 @@
 
 // clock tells steady time and how long no hut in touch with a majority has answered.
 func (t *FrontServer) clock() (now, heard time.Duration) {
-	now = t.host.steady()
+	now = t.host.Now()
 	return now, now - time.Duration(t.majorityHeardAt.Load())
 }
 
-// deaf is how long a node may hear of no majority before it keeps to settled versions.
-func (n *Node) deaf() time.Duration {
-	b := n.set().Bounds
+// MajorityTimeout is how long a node may hear of no majority before it keeps to settled versions.
+func (n *Node) MajorityTimeout() time.Duration {
+	b := n.Settings().Bounds
 	if b.RollbackMs > 0 {
 		return config.Milliseconds(b.RollbackMs, 0.4)
 	}
 	return config.Milliseconds(b.InTouchMs, 0.4)
 }
 
-// exposure is what the settings allow a bad version.
-func (n *Node) exposure() rollout.Exposure {
-	b := n.set().Bounds
+// RolloutExposure is what the settings allow a bad version.
+func (n *Node) RolloutExposure() rollout.Exposure {
+	b := n.Settings().Bounds
 	return rollout.Exposure{Share: b.ExposureShare, Slack: b.ExposureSlack}
 }
 
@@ -77,14 +77,14 @@
 	if say.RolledTo <= t.progress.Load().rolloutSlot {
 		return
 	}
-	now := t.host.steady()
+	now := t.host.Now()
 	for _, r := range say.Rollouts {
 		old := t.rollouts.orders[r.Service]
 		if r.Slot <= old.Slot {
 			continue
 		}
 		t.rollouts.orders[r.Service] = r
-		if r.Phase == consensus.Trial && now > t.host.heartbeat(4) {
+		if r.Phase == consensus.Trial && now > t.host.Heartbeats(4) {
 			// One that has just started does not know how much of it is over.
 			t.rollouts.trialUntil[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
 		}
@@ -106,7 +106,7 @@
 			lanes[service] = &rollout.Lane{From: first}
 		}
 	}
-	o, e := t.options.Rollout, t.host.exposure()
+	o, e := t.options.Rollout, t.host.RolloutExposure()
 	for service, r := range t.rollouts.orders {
 		l := &rollout.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.N], Halted: t.rollouts.halted[r.N]}
 		if l.From == "" && lanes[service] != nil {
@@ -122,7 +122,7 @@
 	}
 	t.rollouts.splits = lanes
 	t.rollouts.observed.Store(&watches)
-	t.layouts.SetVersions(versions, t.host.steady())
+	t.layouts.SetVersions(versions, t.host.Now())
 	runs := map[int64]bool{}
 	for _, w := range watches {
 		runs[w.order] = true
@@ -155,7 +155,7 @@
 		l = s.Lanes[service]
 	}
 	now, heard := t.clock()
-	w := l.Way(now, heard, t.host.deaf(), rand.Float64())
+	w := l.Way(now, heard, t.host.MajorityTimeout(), rand.Float64())
 	for i, version := range []string{w.Once, w.Then, w.Else} {
 		if version == "" && i != 1 {
 			continue
@@ -210,9 +210,9 @@
 func (t *FrontServer) reportLoop() {
 	for {
 		select {
-		case <-t.host.stop:
+		case <-t.host.Stopping:
 			return
-		case <-time.After(time.Duration(float64(t.host.heartbeat(0.15)) * (0.8 + 0.4*rand.Float64()))):
+		case <-time.After(time.Duration(float64(t.host.Heartbeats(0.15)) * (0.8 + 0.4*rand.Float64()))):
 		}
 		if ws := t.rollouts.observed.Load(); ws == nil || len(*ws) == 0 {
 			continue
@@ -221,7 +221,7 @@
 		if len(entries) == 0 {
 			continue
 		}
-		to, m := "", RolloutReport{Name: t.host.set().NodeName, Life: t.rollouts.incarnation, Entries: entries}
+		to, m := "", RolloutReport{Name: t.host.Settings().NodeName, Life: t.rollouts.incarnation, Entries: entries}
 		t.loop.Call(func() {
 			t.evaluate(entries)
 			t.rollouts.sequence++
@@ -230,7 +230,7 @@
 				to = t.watchTargets[0]
 			}
 		})
-		if to == "" || t.host.call.CallJSON(t.host.set().InternalAddress(to), PathRolloutReport, m, nil, t.host.heartbeat(0.5)) != nil {
+		if to == "" || t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), PathRolloutReport, m, nil, t.host.Heartbeats(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
 				t.rollouts.recorder.Note(e.Cell, e.Sum)
@@ -241,7 +241,7 @@
 
 // evaluate runs the charts over what this node saw itself; it runs on the desk.
 func (t *FrontServer) evaluate(entries []rollout.Entry) {
-	now := t.host.steady()
+	now := t.host.Now()
 	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range entries {
 		byOrder[e.Order] = append(byOrder[e.Order], e)
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -86,13 +86,13 @@
 // onUnreachableReport takes what a front tells; many words close together go out as
 // one. It runs on the desk.
 func (h *ControlServer) onUnreachableReport(m UnreachableReport) {
-	now := h.host.steady()
+	now := h.host.Now()
 	_, here := h.frontsAround(h.fronts[m.Name].zone)
-	if !h.unreachable.onReport(m, requiredReporters(here), now, h.host.heartbeat(2), h.host.hearsayLasts()) || h.reportScheduled {
+	if !h.unreachable.onReport(m, requiredReporters(here), now, h.host.Heartbeats(2), h.host.UnreachableTTL()) || h.reportScheduled {
 		return
 	}
 	h.reportScheduled = true
-	time.AfterFunc(h.host.heartbeat(0.1), func() {
+	time.AfterFunc(h.host.Heartbeats(0.1), func() {
 		h.loop.Submit(func() {
 			h.reportScheduled = false
 			h.unreachable.revision++
@@ -102,22 +102,22 @@
 	})
 }
 
-// hearsayLasts is how long hearsay keeps requests away from a searcher.
-func (n *Node) hearsayLasts() time.Duration {
-	return config.Milliseconds(n.set().Bounds.InTouchMs, 0.5)
+// UnreachableTTL is how long hearsay keeps requests away from a searcher.
+func (n *Node) UnreachableTTL() time.Duration {
+	return config.Milliseconds(n.Settings().Bounds.InTouchMs, 0.5)
 }
 
 // reportUnreachableLoop tells the hut watched first of searchers that did not answer.
 func (t *FrontServer) reportUnreachableLoop() {
 	for {
 		select {
-		case <-t.host.stop:
+		case <-t.host.Stopping:
 			return
 		case <-t.endpointMissed:
 		}
 		// Others of the same request come in together.
-		time.Sleep(t.host.heartbeat(0.05))
-		dark := t.endpoints.Missed(t.host.heartbeat(1))
+		time.Sleep(t.host.Heartbeats(0.05))
+		dark := t.endpoints.Missed(t.host.Heartbeats(1))
 		to := ""
 		t.loop.Call(func() {
 			if len(t.watchTargets) > 0 {
@@ -127,7 +127,7 @@
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.host.call.CallJSON(t.host.set().InternalAddress(to), PathUnreachable, UnreachableReport{t.host.set().NodeName, dark}, nil, t.host.heartbeat(0.5))
-		time.Sleep(t.host.heartbeat(0.2))
+		_ = t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), PathUnreachable, UnreachableReport{t.host.Settings().NodeName, dark}, nil, t.host.Heartbeats(0.5))
+		time.Sleep(t.host.Heartbeats(0.2))
 	}
 }
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -49,11 +49,11 @@
 			}
 			*a = net.JoinHostPort(s.IpAddress, port)
 		}
-		node, err := open(s, "", o)
+		node, err := Open(s, "", o)
 		if err != nil {
 			return h, err
 		}
-		if !node.begin() {
+		if !node.Start() {
 			return h, fmt.Errorf("%s does not listen", s.IpAddress)
 		}
 		h.nodes = append(h.nodes, node)
@@ -64,10 +64,10 @@
 // Ready counts the fronts that are ready, and those that hold a version and a table.
 func (h *Hollow) Ready(version int64, table endpoints.Stamp) (ready, current int) {
 	for _, n := range h.nodes {
-		if n.trail.ready.Load() {
+		if n.front.ready.Load() {
 			ready++
 		}
-		held := n.trail.progress.Load()
+		held := n.front.progress.Load()
 		if held.version >= version && !held.stamp.Before(table) {
 			current++
 		}
@@ -78,7 +78,7 @@
 // Newest is the newest version and table that any of the fronts holds.
 func (h *Hollow) Newest() (version int64, table endpoints.Stamp) {
 	for _, n := range h.nodes {
-		held := n.trail.progress.Load()
+		held := n.front.progress.Load()
 		version = max(version, held.version)
 		if table.Before(held.stamp) {
 			table = held.stamp
@@ -90,11 +90,11 @@
 // Stop ends all fronts at once.
 func (h *Hollow) Stop() {
 	for _, n := range h.nodes {
-		close(n.stop)
-		for _, l := range n.sockets {
+		close(n.Stopping)
+		for _, l := range n.listeners {
 			l.Close()
 		}
-		if l := n.trail.listener.Load(); l != nil {
+		if l := n.front.listener.Load(); l != nil {
 			(*l).Close()
 		}
 	}
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -103,7 +103,7 @@
 const maxPastBodies = 8
 
 func NewControlServer(n *Node) (*ControlServer, error) {
-	s := n.set()
+	s := n.Settings()
 	slow, again := config.Milliseconds(s.Bounds.AcknowledgeMs, 0.1), config.Milliseconds(s.Bounds.AcknowledgeMs, 0.04)
 	cel, err := storage.Open(s.DataDirectory, slow, again)
 	until := time.Now().Add(config.Milliseconds(s.Bounds.AcknowledgeMs, 2))
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	st, ballots, packed, err := loadState(cel, n.maxMessage())
+	st, ballots, packed, err := loadState(cel, n.MaxMessageBytes())
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 			events.Log(events.ClusterBootstrapped, "voters", strings.Join(ips, ","))
 		} else {
 			// What was promised under an identity in a store that was set aside may be forgotten.
-			id = "later-" + s.IpAddress + "-" + randomName()
+			id = "later-" + s.IpAddress + "-" + RandomID()
 			events.Log(events.IdentityCreated, "id", id)
 		}
 		maps.Copy(records, stateRecords(st, -1, 0))
@@ -155,18 +155,18 @@
 	h.packedValue, h.highestRound = packed, h.acceptor.Promised.N
 	h.bootID = rand.Int64N(1<<40) << 10
 	h.unreachable.revision = h.bootID
-	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.heartbeat(1), n.steady()), h.inheritedFrontCount
+	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.Heartbeats(1), n.Now()), h.inheritedFrontCount
 	h.ineligible = true // until it has heard a majority
-	leaseDuration := n.heartbeat(1.25)
-	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.Votes(id), n.steady())
-	h.pollLease = lease.NewCandidate(pollerRole, id, leaseDuration, n.steady())
+	leaseDuration := n.Heartbeats(1.25)
+	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.Votes(id), n.Now())
+	h.pollLease = lease.NewCandidate(pollerRole, id, leaseDuration, n.Now())
 	h.pollLease.SetIncarnation(h.incarnation)
 	h.pollLease.ObserveEpoch(leases[pollerRole].Epoch, leases[pollerRole].Holder)
 	if h.table != nil {
 		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.By)
 	}
 	h.applyVoters()
-	h.rollouts = newRolloutController(terms, n.steady())
+	h.rollouts = newRolloutController(terms, n.Now())
 	h.applyRollouts()
 	return h, nil
 }
@@ -217,7 +217,7 @@
 		ids = append(ids, v.ID)
 	}
 	slices.Sort(ids)
-	h.detector.SetVoters(ids, h.host.steady())
+	h.detector.SetVoters(ids, h.host.Now())
 	h.pollLease.SetVoters(h.acceptor.State.VotersSlot, ids)
 }
 
@@ -234,10 +234,10 @@
 		return
 	}
 	if s.Version != old.Version {
-		h.versionLearnedAt = h.host.steady()
+		h.versionLearnedAt = h.host.Now()
 	}
 	h.applyVoters()
-	h.voter.SetVoters(s.VotersSlot, s.Votes(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.steady())
+	h.voter.SetVoters(s.VotersSlot, s.Votes(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.Now())
 	h.applyRollouts()
 	h.persistState()
 	h.packedValue = nil
@@ -250,7 +250,7 @@
 			for _, b := range h.pastBodies {
 				size += len(b.Body)
 			}
-			for len(h.pastBodies) > maxPastBodies || size > h.host.maxMessage() {
+			for len(h.pastBodies) > maxPastBodies || size > h.host.MaxMessageBytes() {
 				size -= len(h.pastBodies[0].Body)
 				h.pastBodies = h.pastBodies[1:]
 			}
@@ -339,7 +339,7 @@
 		if !transport.ReadJSON(c, &m) {
 			return true
 		}
-		d, err := UnpackTableDelta(m.Delta, h.host.maxMessage())
+		d, err := UnpackTableDelta(m.Delta, h.host.MaxMessageBytes())
 		if err != nil {
 			events.Log(events.MessageRejected, "path", PathTable, "from", c.RemoteAddr(), "err", err)
 			transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -85,7 +85,7 @@
 }
 
 func NewFetcher(n *Node, t *FrontServer, limit int) *Fetcher {
-	return &Fetcher{host: n, front: t, objects: cache.NewShelf(limit), queue: cache.NewStove(), limits: map[string]*ratelimit.Ceiling{}, wakeup: make(chan struct{}, 1), name: randomName()}
+	return &Fetcher{host: n, front: t, objects: cache.NewShelf(limit), queue: cache.NewStove(), limits: map[string]*ratelimit.Ceiling{}, wakeup: make(chan struct{}, 1), name: RandomID()}
 }
 
 func (k *Fetcher) wake() {
@@ -130,9 +130,9 @@
 // Run lets one fetch after the other go as the ceilings allow.
 func (k *Fetcher) Run() {
 	for {
-		wait := k.host.heartbeat(0.2)
+		wait := k.host.Heartbeats(0.2)
 		k.mu.Lock()
-		now := k.host.steady()
+		now := k.host.Now()
 		for _, service := range k.queue.Services() {
 			if w := k.startFetches(service, now); w < wait {
 				wait = w
@@ -141,7 +141,7 @@
 		k.mu.Unlock()
 		t := time.NewTimer(wait)
 		select {
-		case <-k.host.stop:
+		case <-k.host.Stopping:
 			t.Stop()
 			return
 		case <-k.wakeup:
@@ -162,13 +162,13 @@
 		k.limits[service] = c
 	}
 	if share >= 0 && share != c.Rate() {
-		c.Set(share, max(0.1, k.host.set().Bounds.CeilingWindowS*rateLimitBurst), now)
+		c.Set(share, max(0.1, k.host.Settings().Bounds.CeilingWindowS*rateLimitBurst), now)
 	}
 	for k.queue.Queued(service) > 0 {
 		if share >= 0 {
 			ok, wait := c.Take(now)
 			if !ok && wait < 0 {
-				return k.host.heartbeat(0.2)
+				return k.host.Heartbeats(0.2)
 			}
 			if !ok {
 				return max(wait, time.Millisecond)
@@ -184,7 +184,7 @@
 		}
 		go k.fetch(f, old)
 	}
-	return k.host.heartbeat(0.2)
+	return k.host.Heartbeats(0.2)
 }
 
 // fetch asks one searcher for the whole object, or whether the copy held still is the newest.
@@ -193,13 +193,13 @@
 	k.requestNumber++
 	k.fetches++
 	id := fmt.Sprintf("%s-%d", k.name, k.requestNumber)
-	until := f.Began + k.host.heartbeat(8)
+	until := f.Began + k.host.Heartbeats(8)
 	k.mu.Unlock()
 	etag := ""
 	if old != nil {
 		etag = old.ETag
 	}
-	aim := k.host.heartbeat(0.5)
+	aim := k.host.Heartbeats(0.5)
 	if r := k.front.route(f.Host, f.Target); r != nil {
 		aim = r.Target
 		until = f.Began + r.Timeout
@@ -209,7 +209,7 @@
 		k.onFailed(f, 503, "no searcher")
 		return
 	}
-	left := until - k.host.steady()
+	left := until - k.host.Now()
 	ask := upstream.Read(id, f.Host, f.Target, etag)
 	ask.Aim = aim
 	o := k.front.endpoints.Try(peer, ask, start, time.Now().Add(left))
@@ -255,7 +255,7 @@
 func (k *Fetcher) onFetched(f *cache.Flight, c *cache.Copy, p *cache.Passed) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	now := k.host.steady()
+	now := k.host.Now()
 	if c != nil {
 		if k.front.cacheHandler.Killed(c) && f.Tries < 4 && f.Wait(now) {
 			// A purge came while it was fetched: what is here may be what it ended.
@@ -276,7 +276,7 @@
 func (k *Fetcher) onFailed(f *cache.Flight, status int, why string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if f.Tries < 3 && f.Wait(k.host.steady()) {
+	if f.Tries < 3 && f.Wait(k.host.Now()) {
 		k.queue.Again(f)
 		k.wake()
 		return
@@ -290,12 +290,12 @@
 	until := time.Now().Add(time.Duration(min(a.WaitMs, a.LeftMs)) * time.Millisecond)
 	for k.front.cacheHandler.Known() < a.Purge && time.Now().Before(until) {
 		// The asker has heard of a purge that this node has not: it is on its way.
-		time.Sleep(k.host.heartbeat(0.01))
+		time.Sleep(k.host.Heartbeats(0.01))
 	}
 	key := cache.Key(a.Host, a.Target)
 	for {
 		k.mu.Lock()
-		now := k.host.steady()
+		now := k.host.Now()
 		c := k.objects.Get(key)
 		if known, ok := k.front.cacheHandler.Vouch(c, lifetime, sends); ok {
 			k.mu.Unlock()
@@ -325,15 +325,15 @@
 		switch {
 		case f.Copy != nil:
 			if known, ok := k.front.cacheHandler.Vouch(f.Copy, lifetime, sends); ok {
-				return objectResponse(f.Copy, known, k.host.steady())
+				return objectResponse(f.Copy, known, k.host.Now())
 			} else if lifetime <= 0 {
-				return objectResponse(f.Copy, f.Copy.Known, k.host.steady())
+				return objectResponse(f.Copy, f.Copy.Known, k.host.Now())
 			}
 			continue
 		case f.Passed != nil:
 			return CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, Passed: true}, f.Passed.Body
 		}
-		return CacheFetchResponse{Status: f.Status, BackMs: int64(k.host.heartbeat(0.1) / time.Millisecond)}, nil
+		return CacheFetchResponse{Status: f.Status, BackMs: int64(k.host.Heartbeats(0.1) / time.Millisecond)}, nil
 	}
 }
 
@@ -387,16 +387,16 @@
 func (k *Fetcher) JoinLoop() {
 	for {
 		select {
-		case <-k.host.stop:
+		case <-k.host.Stopping:
 			return
-		case <-time.After(k.host.heartbeat(0.5)):
+		case <-time.After(k.host.Heartbeats(0.5)):
 		}
-		if l := k.front.cacheNodes.Load(); l != nil && l.member || k.host.leaving.Load() {
+		if l := k.front.cacheNodes.Load(); l != nil && l.member || k.host.Draining.Load() {
 			continue
 		}
-		self := consensus.Larder{Name: k.host.set().NodeName, IP: k.host.set().IpAddress, Zone: k.host.set().Zone}
+		self := consensus.Larder{Name: k.host.Settings().NodeName, IP: k.host.Settings().IpAddress, Zone: k.host.Settings().Zone}
 		for _, ip := range k.front.ControlIPs() {
-			if k.host.call.CallJSON(k.host.set().InternalAddress(ip), PathCacheJoin, self, nil, config.Milliseconds(k.host.set().Bounds.AcknowledgeMs, 0.4)) == nil {
+			if k.host.Client.CallJSON(k.host.Settings().InternalAddress(ip), PathCacheJoin, self, nil, config.Milliseconds(k.host.Settings().Bounds.AcknowledgeMs, 0.4)) == nil {
 				events.Log(events.CacheNodeRegistered, "by", ip)
 				break
 			}
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -28,8 +28,8 @@
 		var yields, asks, holds bool
 		var to map[string]string
 		h.loop.Call(func() {
-			now := h.host.steady()
-			if h.host.leaving.Load() {
+			now := h.host.Now()
+			if h.host.Draining.Load() {
 				return
 			}
 			release, yields = h.pollLease.Release(false, now)
@@ -45,12 +45,12 @@
 		for id, ip := range to {
 			go h.requestLease(bid, id, ip)
 		}
-		wait := h.host.heartbeat(0.2)
+		wait := h.host.Heartbeats(0.2)
 		if asks && !holds {
-			wait = h.host.heartbeat(0.1)
+			wait = h.host.Heartbeats(0.1)
 		}
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
 		case <-time.After(wait):
 		case <-h.leaseReleased:
@@ -77,11 +77,11 @@
 func (h *ControlServer) requestLease(b lease.Request, id, ip string) {
 	var say LeaseResponse
 	var err error
-	sent := h.host.steady()
-	if ip == h.host.set().IpAddress {
+	sent := h.host.Now()
+	if ip == h.host.Settings().IpAddress {
 		say, err = h.handleLeaseRequest(LeaseRequest{Bid: b})
 	} else {
-		err = h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathLease, LeaseRequest{Bid: b}, &say, h.host.heartbeat(0.8))
+		err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathLease, LeaseRequest{Bid: b}, &say, h.host.Heartbeats(0.8))
 	}
 	h.loop.Submit(func() {
 		delete(h.leaseRequests, id)
@@ -89,7 +89,7 @@
 			return
 		}
 		h.grantorTables[ip] = grantorTable{say.Grant.Voter, b.Epoch, say.Stamp}
-		now := h.host.steady()
+		now := h.host.Now()
 		h.pollLease.OnResponse(b, say.Grant, sent, now)
 		h.noteLease(now)
 	})
@@ -121,13 +121,13 @@
 // releaseLease gives a lease back before its time.
 func (h *ControlServer) releaseLease(b lease.Request) {
 	for _, v := range h.State().Voters {
-		if v.IP == h.host.set().IpAddress {
+		if v.IP == h.host.Settings().IpAddress {
 			_, _ = h.handleLeaseRequest(LeaseRequest{Bid: b, Release: true})
 			continue
 		}
 		go func() {
 			var say LeaseResponse
-			_ = h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathLease, LeaseRequest{Bid: b, Release: true}, &say, h.host.heartbeat(0.8))
+			_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), PathLease, LeaseRequest{Bid: b, Release: true}, &say, h.host.Heartbeats(0.8))
 		}()
 	}
 }
@@ -136,7 +136,7 @@
 func (h *ControlServer) handleLeaseRequest(m LeaseRequest) (say LeaseResponse, err error) {
 	done := make(chan error, 1)
 	h.loop.Call(func() {
-		now := h.host.steady()
+		now := h.host.Now()
 		if m.Release {
 			h.voter.HandleRelease(m.Bid, now)
 			select {
@@ -165,7 +165,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(h.host.heartbeat(0.8)):
+	case <-time.After(h.host.Heartbeats(0.8)):
 		err = errors.New("the disk takes too long")
 	}
 	return say, err
@@ -179,7 +179,7 @@
 
 // leaseRenewals go with a beat of the holder; it runs on the desk.
 func (h *ControlServer) leaseRenewals(now time.Duration) (b lease.Request, out map[string]LeaseRenewal) {
-	if h.host.leaving.Load() {
+	if h.host.Draining.Load() {
 		return b, nil
 	}
 	b, ok := h.pollLease.NextRequest(now)
@@ -196,7 +196,7 @@
 // the others must be bid for. It runs on the desk.
 func (h *ControlServer) grantRenewals(m Heartbeat) (granted []string) {
 	for duty, r := range m.Renews {
-		if g, write := h.grantLease(lease.Request{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.host.steady()); g.OK && write == 0 {
+		if g, write := h.grantLease(lease.Request{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.host.Now()); g.OK && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
@@ -206,7 +206,7 @@
 // onRenewals takes the answer to renewals sent then; it runs on the desk.
 func (h *ControlServer) onRenewals(b lease.Request, say Heartbeat, sent time.Duration) {
 	if b.Epoch > 0 && slices.Contains(say.Granted, b.Duty) {
-		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, OK: true}, sent, h.host.steady())
+		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, OK: true}, sent, h.host.Now())
 	}
 }
 
@@ -214,7 +214,7 @@
 func (h *ControlServer) resignLease() {
 	var b lease.Request
 	yields := false
-	h.loop.Call(func() { b, yields = h.pollLease.Release(true, h.host.steady()) })
+	h.loop.Call(func() { b, yields = h.pollLease.Release(true, h.host.Now()) })
 	if yields {
 		h.releaseLease(b)
 	}
--- a/internal/lodge/lease_test.go
+++ b/internal/lodge/lease_test.go
@@ -14,7 +14,7 @@
 // that listens there too is cut off from the rest.
 func (w *town) onPort(port int, names ...string) {
 	for _, name := range names {
-		s := *w.nodes[name].set()
+		s := *w.nodes[name].Settings()
 		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
 		w.nodes[name].settings.Store(&s)
 	}
@@ -26,12 +26,12 @@
 		n := w.nodes[name]
 		s := config.Settings{}
 		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
-		ln, ok := transport.Listen(s.InternalAddress(n.set().IpAddress), n.userTimeout(), n.heartbeat(0.1), n.stop)
+		ln, ok := transport.Listen(s.InternalAddress(n.Settings().IpAddress), n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
 		if !ok {
 			w.t.Fatal("a node does not listen")
 		}
-		transport.Serve(ln, n.listener(2*time.Second), func(ctx context.Context, c *app.RequestContext) { n.handleRope(ctx, c) })
-		n.sockets = append(n.sockets, ln)
+		transport.Serve(ln, n.ServerOptions(2*time.Second), func(ctx context.Context, c *app.RequestContext) { n.handleInternal(ctx, c) })
+		n.listeners = append(n.listeners, ln)
 	}
 }
 
@@ -40,7 +40,7 @@
 // follows.
 func TestPollerCutOff(t *testing.T) {
 	w, s := start(t)
-	one, two, three := w.nodes["1"].hut, w.nodes["2"].hut, w.nodes["3"].hut
+	one, two, three := w.nodes["1"].control, w.nodes["2"].control, w.nodes["3"].control
 	w.eventually("the first has the duty", func() bool { return one.Status().Polling })
 	before := one.Status()
 	if before.LeaseAgeMs <= 0 {
@@ -70,7 +70,7 @@
 	// The list lags and calls it ready once more. Several leases go by.
 	w.mark("plain-a", "ready")
 	alone := one.Status().Table
-	for end := time.Now().Add(6 * one.host.heartbeat(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(6 * one.host.Heartbeats(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		st := one.Status()
 		if st.Polling || st.Epoch != before.Epoch || st.Table != alone {
 			t.Fatalf("the one cut off has epoch %d (it had %d), polls: %v, table %v", st.Epoch, before.Epoch, st.Polling, st.Table)
@@ -88,11 +88,11 @@
 	}{{"GET", "", "", 503}, {"PUT", "3", configBody(4, "s1", "s2"), 503}, {"PUT", "0", configBody(3, "s1", "s2"), 200}} {
 		at := time.Now()
 		status, text := w.control(1, call.method, call.match, call.body)
-		if took := time.Since(at); status != call.want || took > one.host.heartbeat(2) {
+		if took := time.Since(at); status != call.want || took > one.host.Heartbeats(2) {
 			t.Errorf("%s by the one cut off: %d after %v: %s", call.method, status, took, text)
 		}
 	}
-	if st := one.Status(); !st.Lone || st.MajorityAgeMs < one.host.heartbeat(2).Milliseconds() || two.Status().Lone {
+	if st := one.Status(); !st.Lone || st.MajorityAgeMs < one.host.Heartbeats(2).Milliseconds() || two.Status().Lone {
 		t.Errorf("the one cut off shows lone %v, a majority %d ms ago; another %v", st.Lone, st.MajorityAgeMs, two.Status().Lone)
 	}
 	other := two.Status().Epoch
@@ -110,7 +110,7 @@
 	w.mark("s1-a", "draining") // a change, so that there is a table of that epoch
 	w.eventually("it shows that it is in touch again, and what it remembers", func() bool {
 		st := one.Status()
-		return !st.Lone && st.MajorityAgeMs < one.host.heartbeat(1).Milliseconds() && st.Kept == st.Slot && st.BehindBy == 0 && st.Life == 1 && st.Resends == 1 && st.Changes == 1
+		return !st.Lone && st.MajorityAgeMs < one.host.Heartbeats(1).Milliseconds() && st.Kept == st.Slot && st.BehindBy == 0 && st.Life == 1 && st.Resends == 1 && st.Changes == 1
 	})
 	w.eventually("all have its table", func() bool {
 		a, b, c := one.Status().Table, two.Status().Table, three.Status().Table
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -12,8 +12,8 @@
 	"swiftswitch/internal/events"
 )
 
-// tune fits the runtime to the machine.
-func tune(s *config.Settings) {
+// tuneRuntime fits the runtime to the machine.
+func tuneRuntime(s *config.Settings) {
 	runtime.GOMAXPROCS(1)
 	if mb := s.Limits.MemoryMb; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * 0.6 * (1 << 20)))
@@ -21,24 +21,24 @@
 	debug.SetGCPercent(150)
 }
 
-// signals waits for the end, and for changed settings on the way.
-func (n *Node) signals() {
+// handleSignals waits for the end, and for changed settings on the way.
+func (n *Node) handleSignals() {
 	sig := make(chan os.Signal, 4)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
-	seen := fileTime(n.path)
+	seen := modificationTime(n.settingsPath)
 	for {
 		select {
 		case s := <-sig:
 			if s == syscall.SIGHUP {
-				seen = fileTime(n.path)
+				seen = modificationTime(n.settingsPath)
 				n.reload()
 				continue
 			}
 			n.drain()
 			return
-		case <-time.After(n.heartbeat(1)):
-			if t := fileTime(n.path); !t.Equal(seen) {
+		case <-time.After(n.Heartbeats(1)):
+			if t := modificationTime(n.settingsPath); !t.Equal(seen) {
 				seen = t
 				n.reload()
 			}
@@ -48,8 +48,8 @@
 
 // reload takes a changed settings file, or keeps the old settings.
 func (n *Node) reload() {
-	s, err := config.LoadSettings(n.path)
-	old := n.set()
+	s, err := config.LoadSettings(n.settingsPath)
+	old := n.Settings()
 	switch {
 	case err != nil:
 		events.Log(events.SettingsReloadRejected, "err", err)
@@ -66,17 +66,17 @@
 // drain leaves in order, inside GraceS.
 func (n *Node) drain() {
 	start := time.Now()
-	grace := config.Seconds(n.set().Bounds.GraceS, 1)
+	grace := config.Seconds(n.Settings().Bounds.GraceS, 1)
 	events.Log(events.Draining, "grace", grace)
-	n.leaving.Store(true)
-	if n.trail != nil {
-		n.trail.Drain(start, grace)
+	n.Draining.Store(true)
+	if n.front != nil {
+		n.front.Drain(start, grace)
 	}
-	if n.hut != nil {
-		n.hut.Drain(start, grace)
+	if n.control != nil {
+		n.control.Drain(start, grace)
 	}
-	close(n.stop)
-	for _, ln := range n.sockets {
+	close(n.Stopping)
+	for _, ln := range n.listeners {
 		ln.Close()
 	}
 }
--- a/internal/lodge/lodge_test.go
+++ b/internal/lodge/lodge_test.go
@@ -295,8 +295,8 @@
 	w.dirs["hut-1"] = t.TempDir()
 	w.run(1, false, 2, 3)
 	w.eventually("the empty hut votes under a new identity", func() bool {
-		s := w.nodes["2"].hut.State()
-		return s.Votes(w.nodes["1"].hut.acceptor.ID) && len(s.Voters) == 3
+		s := w.nodes["2"].control.State()
+		return s.Votes(w.nodes["1"].control.acceptor.ID) && len(s.Voters) == 3
 	})
 	if st, body := w.control(1, "GET", "", ""); st != 200 || body != configBody(4, "s1", "s2") {
 		t.Fatalf("after a lost disk: %d %q", st, body)
@@ -305,8 +305,8 @@
 	w.stop("3")
 	w.run(4, false, 1, 2)
 	w.eventually("the new hut has the place of the one that is gone", func() bool {
-		s := w.nodes["1"].hut.State()
-		return s.Votes(w.nodes["4"].hut.acceptor.ID) && len(s.Voters) == 3
+		s := w.nodes["1"].control.State()
+		return s.Votes(w.nodes["4"].control.acceptor.ID) && len(s.Voters) == 3
 	})
 	w.eventually("changes go on", func() bool {
 		st, _ := w.control(4, "PUT", "4", configBody(5, "s1", "s2"))
@@ -331,7 +331,7 @@
 	w.stop("4")
 	defer func() {
 		// The fronts are known to be two before either has been heard.
-		n, before := w.nodes["2"].hut, 0
+		n, before := w.nodes["2"].control, 0
 		n.loop.Call(func() { before = n.inheritedFrontCount })
 		if before != 2 {
 			t.Errorf("%d fronts are remembered", before)
@@ -362,7 +362,7 @@
 		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
-	if v := w.nodes["2"].hut.State().Voters; len(v) != 5 {
+	if v := w.nodes["2"].control.State().Voters; len(v) != 5 {
 		t.Fatalf("acknowledged with %d voters", len(v))
 	}
 	if st, _ := w.control(4, "PUT", "3", configBody(4, "s1")); st != 200 {
@@ -381,8 +381,8 @@
 		return st == 200 && body == configBody(4, "s1")
 	})
 	w.eventually("the empty disks vote under new identities", func() bool {
-		st := w.nodes["3"].hut.State()
-		return st.Votes(w.nodes["1"].hut.acceptor.ID) && st.Votes(w.nodes["4"].hut.acceptor.ID) && len(st.Voters) == 5
+		st := w.nodes["3"].control.State()
+		return st.Votes(w.nodes["1"].control.acceptor.ID) && st.Votes(w.nodes["4"].control.acceptor.ID) && len(st.Voters) == 5
 	})
 	// Each holder of the duty in turn is killed and back at once; what drains
 	// in that moment is noticed all the same.
@@ -390,14 +390,14 @@
 		holder := 0
 		w.eventually("somebody polls", func() bool {
 			for n := 1; n <= 5; n++ {
-				if h := w.nodes[fmt.Sprint(n)].hut; h.Status().Polling {
+				if h := w.nodes[fmt.Sprint(n)].control; h.Status().Polling {
 					holder = n
 					return true
 				}
 			}
 			return false
 		})
-		before := w.nodes[fmt.Sprint(holder)].hut.Status().Epoch
+		before := w.nodes[fmt.Sprint(holder)].control.Status().Epoch
 		w.stop(fmt.Sprint(holder))
 		state := "draining"
 		if i%2 == 1 {
@@ -408,7 +408,7 @@
 		}
 		w.mark("plain-a", state)
 		w.run(holder, false, 1, 2, 3)
-		w.eventually("a new epoch is taken", func() bool { return w.nodes["3"].hut.Status().Epoch > before })
+		w.eventually("a new epoch is taken", func() bool { return w.nodes["3"].control.Status().Epoch > before })
 		time.Sleep(800 * time.Millisecond) // DrainMs
 		ran := s.ran()
 		for k := 0; k < 6; k++ {
@@ -432,7 +432,7 @@
 		t.Fatalf("%d %s", st, body)
 	}
 	want := top(7, "s1", "f1", "f2", "f3")
-	lent := func() int64 { return w.nodes["12"].trail.frontend.Lent() }
+	lent := func() int64 { return w.nodes["12"].front.frontend.Lent() }
 	w.eventually("the other front helps", func() bool {
 		r, body, _ := w.ask(11, "GET", "/g/x?y=%2F", "")
 		return r.StatusCode == 200 && bytes.Equal(body, want) && lent() > 0
@@ -470,7 +470,7 @@
 	w, s := start(t)
 	n := w.nodes["11"]
 	// A changed settings file is taken, a bad one is not.
-	n.path = t.TempDir() + "/boot.yaml"
+	n.settingsPath = t.TempDir() + "/boot.yaml"
 	file := func(seed string) string {
 		return fmt.Sprintf("{NodeName: node, IpAddress: %q, Zone: z1, Serves: [], InternalPortRange: [%d, %d], SeedNodes: [%q], HeartbeatIntervalMs: 300, Bounds: {InTouchMs: 1000, AcknowledgeMs: 2500, CatchUpS: 1, DrainMs: 800, GraceS: 2, ConfigEffectMs: 1000, RetryWindowS: 2}}",
 			w.ip(11), w.port, w.port+10, seed)
@@ -482,11 +482,11 @@
 		{strings.Replace(file("10.9.9.8:1"), w.ip(11), "10.1.1.1", 1), "10.9.9.9:1"},
 		{file("10.9.9.7:1"), "10.9.9.7:1"},
 	} {
-		if err := os.WriteFile(n.path, []byte(c.text), 0o644); err != nil {
+		if err := os.WriteFile(n.settingsPath, []byte(c.text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		n.reload()
-		if got := n.set().SeedNodes[0]; got != c.want {
+		if got := n.Settings().SeedNodes[0]; got != c.want {
 			t.Fatalf("after %s the seed is %s", c.text, got)
 		}
 	}
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -14,8 +14,8 @@
 func TestManyFrontsJoin(t *testing.T) {
 	w, s := start(t)
 	const fronts = 240
-	hut := w.nodes["1"].hut
-	to := w.nodes["1"].set().InternalAddress(w.ip(1))
+	hut := w.nodes["1"].control
+	to := w.nodes["1"].Settings().InternalAddress(w.ip(1))
 	var tables []*endpoints.Table
 	for round := 0; round < 2; round++ {
 		var wg sync.WaitGroup
@@ -26,12 +26,12 @@
 				defer wg.Done()
 				ask := WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, Purge: -1, Zone: []string{"z1", "z2"}[i%2], First: true, HoldMs: 100, Hello: true}
 				var say WatchResponse
-				if err := w.nodes["1"].call.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
+				if err := w.nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
 					t.Errorf("hello: %v, %d huts", err, len(say.Huts))
 					return
 				}
 				ask.Hello = false
-				if err := w.nodes["1"].call.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil {
+				if err := w.nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil {
 					t.Errorf("watch: %v", err)
 					return
 				}
@@ -53,22 +53,22 @@
 	// What several of them tell of a searcher reaches another at once.
 	need := requiredReporters(fronts/2 + 1)
 	for i := range need {
-		if err := w.nodes["1"].call.CallJSON(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
+		if err := w.nodes["1"].Client.CallJSON(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var say WatchResponse
 	ask := WatchRequest{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.nodes["1"].call.CallJSON(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
+	if err := w.nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
 		t.Errorf("told of silent searchers: %v, %v", say.Dark, err)
 	}
 	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
-	time.Sleep(hut.host.heartbeat(0.1))
+	time.Sleep(hut.host.Heartbeats(0.1))
 	hut.loop.Call(func() {
 		if n := len(hut.tableDeltas); n != 1 {
 			t.Errorf("the table was packed in %d ways", n)
 		}
-		all := hut.countFronts(hut.host.steady())
+		all := hut.countFronts(hut.host.Now())
 		region, here := hut.frontsAround("z2")
 		if all != fronts+2 || here != fronts/2+1 || region < here {
 			t.Errorf("counted %d fronts, %d in the region, %d in the zone", all, region, here)
@@ -89,7 +89,7 @@
 	holder := ""
 	w.eventually("somebody has the duty", func() bool {
 		for _, n := range []string{"1", "2", "3"} {
-			if w.nodes[n].hut.Status().Polling {
+			if w.nodes[n].control.Status().Polling {
 				holder = n
 			}
 		}
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -17,12 +17,12 @@
 
 // replacementTimeout is after how long a voter may lose its place.
 func (h *ControlServer) replacementTimeout() time.Duration {
-	return config.Seconds(h.host.set().Bounds.CatchUpS, 0.5)
+	return config.Seconds(h.host.Settings().Bounds.CatchUpS, 0.5)
 }
 
 // detectorTick notes that this node runs; it runs on the desk.
 func (h *ControlServer) detectorTick() {
-	if h.detector.Tick(h.host.steady()) {
+	if h.detector.Tick(h.host.Now()) {
 		events.Log(events.FailureDetectorReset)
 	}
 }
@@ -30,7 +30,7 @@
 // onFrontCount remembers how many fronts another hut counts: a node that nobody
 // watches, or that is young, goes by it. It runs on the desk.
 func (h *ControlServer) onFrontCount(n int, now time.Duration) {
-	if now < config.Seconds(h.host.set().Bounds.RetryWindowS, 1) {
+	if now < config.Seconds(h.host.Settings().Bounds.RetryWindowS, 1) {
 		h.inheritedFrontCount = max(h.inheritedFrontCount, n)
 	}
 	if n > h.persistedFrontCount {
@@ -42,8 +42,8 @@
 // memberReport is what this node tells a judge.
 func (h *ControlServer) memberReport() (say membership.Report) {
 	h.loop.Call(func() {
-		now := h.host.steady()
-		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.leaving.Load()}
+		now := h.host.Now()
+		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.Draining.Load()}
 		for _, v := range h.acceptor.State.Voters {
 			if v.ID != h.acceptor.ID && h.detector.SilentFor(v.ID, now) > h.replacementTimeout() {
 				say.Silent = append(say.Silent, v.ID)
@@ -70,7 +70,7 @@
 	})
 	select {
 	case err = <-done:
-	case <-time.After(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3)):
+	case <-time.After(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3)):
 		err = errors.New("the disk takes too long")
 	}
 	return held, err
@@ -78,13 +78,13 @@
 
 // ensureDurableAt sees to it that another hut has s, or something newer, on its disk.
 func (h *ControlServer) ensureDurableAt(ip string, s consensus.State, until time.Time) (held Heartbeat, ok bool) {
-	addr := h.host.set().InternalAddress(ip)
+	addr := h.host.Settings().InternalAddress(ip)
 	for try := 0; ; try++ {
-		within := min(h.host.heartbeat(0.6), time.Until(until))
+		within := min(h.host.Heartbeats(0.6), time.Until(until))
 		if within <= 0 {
 			return held, false
 		}
-		err := h.host.call.CallJSON(addr, PathPersist, struct{}{}, &held, within)
+		err := h.host.Client.CallJSON(addr, PathPersist, struct{}{}, &held, within)
 		if err == nil && held.Slot >= s.Slot {
 			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held.Slot) })
 			return held, true
@@ -92,7 +92,7 @@
 		if err == nil {
 			h.sendState(ip, held.Slot, within)
 		} else {
-			time.Sleep(min(h.host.heartbeat(0.05), max(0, time.Until(until))))
+			time.Sleep(min(h.host.Heartbeats(0.05), max(0, time.Until(until))))
 		}
 	}
 }
@@ -105,9 +105,9 @@
 func (h *ControlServer) resendState(ip string, s consensus.State) {
 	for try := 0; try < maxResends; try++ {
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
-		case <-time.After(h.host.heartbeat(0.1)):
+		case <-time.After(h.host.Heartbeats(0.1)):
 		}
 		owed := false
 		h.loop.Call(func() {
@@ -116,7 +116,7 @@
 		if !owed {
 			return
 		}
-		if held := h.sendState(ip, s.Slot-1, h.host.heartbeat(0.3)); held >= 0 {
+		if held := h.sendState(ip, s.Slot-1, h.host.Heartbeats(0.3)); held >= 0 {
 			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held) })
 		}
 	}
@@ -134,15 +134,15 @@
 
 // joinLoop asks for a vote as long as this node has none, after catching up.
 func (h *ControlServer) joinLoop() {
-	wait := h.host.heartbeat(0.05)
+	wait := h.host.Heartbeats(0.05)
 	for {
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
 		case <-time.After(time.Duration(float64(wait) * (0.5 + rand.Float64()))):
 		}
-		wait = h.host.heartbeat(0.25)
-		if s := h.State(); s.Votes(h.acceptor.ID) || h.host.leaving.Load() {
+		wait = h.host.Heartbeats(0.25)
+		if s := h.State(); s.Votes(h.acceptor.ID) || h.host.Draining.Load() {
 			continue
 		}
 		if judges := h.catchUp(); len(judges) > 0 {
@@ -160,12 +160,12 @@
 // peekPeers asks all known huts at once what they hold, and waits a little longer
 // than for the first answer.
 func (h *ControlServer) peekPeers() (out []peekedPeer) {
-	ips := slices.DeleteFunc(h.host.huts(), func(ip string) bool { return ip == h.host.set().IpAddress })
+	ips := slices.DeleteFunc(h.host.ControlIPs(), func(ip string) bool { return ip == h.host.Settings().IpAddress })
 	in := make(chan *peekedPeer, len(ips))
 	for _, ip := range ips {
 		go func() {
 			x := peekedPeer{ip: ip}
-			if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathPeek, struct{}{}, &x.say, h.host.heartbeat(0.8)) != nil {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathPeek, struct{}{}, &x.say, h.host.Heartbeats(0.8)) != nil {
 				in <- nil
 				return
 			}
@@ -181,7 +181,7 @@
 			}
 			out = append(out, *x)
 			if late == nil {
-				late = time.After(h.host.heartbeat(0.15))
+				late = time.After(h.host.Heartbeats(0.15))
 			}
 		case <-late:
 			return out
@@ -206,7 +206,7 @@
 			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
 				continue
 			}
-			if h.host.call.CallJSON(h.host.set().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.Heartbeats(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -240,7 +240,7 @@
 			asked++
 			go func() {
 				var say JoinResponse
-				err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathJoin, JoinRequest{h.acceptor.ID, h.host.set().IpAddress, h.waitDurable()}, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.4))
+				err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathJoin, JoinRequest{h.acceptor.ID, h.host.Settings().IpAddress, h.waitDurable()}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.4))
 				events.Log(events.JoinRequested, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
@@ -251,11 +251,11 @@
 			if votes {
 				return
 			}
-		case <-time.After(h.host.heartbeat(0.8)):
+		case <-time.After(h.host.Heartbeats(0.8)):
 			if h.State().Votes(h.acceptor.ID) {
 				return
 			}
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
 		}
 	}
@@ -285,7 +285,7 @@
 	for _, ip := range ips {
 		go func() {
 			var say membership.Report
-			if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathSilentVoters, struct{}{}, &say, h.host.heartbeat(0.4)) != nil {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathSilentVoters, struct{}{}, &say, h.host.Heartbeats(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
 			}
@@ -317,7 +317,7 @@
 	if m.ID == "" || m.IP == "" {
 		return JoinResponse{}
 	}
-	until := time.Now().Add(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.35))
+	until := time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.35))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
 		voters, v := h.evaluateJoin(m, s)
@@ -333,7 +333,7 @@
 		}
 		h.loop.Call(func() {
 			if o, ok := h.peers[m.IP]; !ok || o.id != m.ID {
-				h.peers[m.IP] = peerState{id: m.ID, heardAt: h.host.steady()}
+				h.peers[m.IP] = peerState{id: m.ID, heardAt: h.host.Now()}
 			}
 		})
 		// Most of it is handed over before orders have to wait for it.
@@ -364,7 +364,7 @@
 			return s, false
 		}
 		// On the very base: whoever votes next must have it on disk.
-		if held, ok := h.ensureDurableAt(m.IP, s, earlier(until, time.Now().Add(h.host.heartbeat(0.6)))); !ok || held.ID != m.ID || held.Leaving {
+		if held, ok := h.ensureDurableAt(m.IP, s, earlier(until, time.Now().Add(h.host.Heartbeats(0.6)))); !ok || held.ID != m.ID || held.Leaving {
 			return s, false
 		}
 		if !h.propose(s, &consensus.Value{Voters: to}) {
@@ -408,7 +408,9 @@
 }
 
 // toleratedLosses is how many machines may be lost at once.
-func (h *ControlServer) toleratedLosses() int { return int(h.host.set().ToleratedLosses.GetMachines()) }
+func (h *ControlServer) toleratedLosses() int {
+	return int(h.host.Settings().ToleratedLosses.GetMachines())
+}
 
 // targetVoters is how many voters bear the losses that the settings name.
 func (h *ControlServer) targetVoters() int { return 2*h.toleratedLosses() + 1 }
@@ -416,9 +418,9 @@
 // stayingPeers lists the other huts that were heard lately and don't leave; it runs on the desk.
 func (h *ControlServer) stayingPeers() []string {
 	var out []string
-	now := h.host.steady()
+	now := h.host.Now()
 	for ip, o := range h.peers {
-		if !o.leaving && now-o.heardAt < h.host.heartbeat(2) {
+		if !o.leaving && now-o.heardAt < h.host.Heartbeats(2) {
 			out = append(out, ip)
 		}
 	}
@@ -449,13 +451,13 @@
 			for _, v := range s.Voters {
 				o := h.peers[v.IP]
 				switch {
-				case v.ID == h.acceptor.ID && h.host.leaving.Load(), v.ID != h.acceptor.ID && o.id == v.ID && o.leaving:
+				case v.ID == h.acceptor.ID && h.host.Draining.Load(), v.ID != h.acceptor.ID && o.id == v.ID && o.leaving:
 					leaving++
 				case v.ID == h.acceptor.ID, o.id == v.ID && h.handoff.Holds(v.IP, slot):
 					held++
 				}
 			}
-			young := h.host.steady() <= config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.75)
+			young := h.host.Now() <= config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.75)
 			enough = membership.EnoughVoters(len(s.Voters), leaving, h.standbyCount(), held, h.toleratedLosses(), young)
 		})
 		if enough {
@@ -464,7 +466,7 @@
 		if time.Now().After(until) {
 			return false
 		}
-		time.Sleep(h.host.heartbeat(0.05))
+		time.Sleep(h.host.Heartbeats(0.05))
 	}
 }
 
@@ -479,7 +481,7 @@
 	h.handOffAll(at(0.5))
 	h.closing.Store(true)
 	for h.ordersInFlight.Load() > 0 && time.Now().Before(at(0.58)) {
-		time.Sleep(h.host.heartbeat(0.01))
+		time.Sleep(h.host.Heartbeats(0.01))
 	}
 	p := h.handOffAll(at(0.66))
 	events.Log(events.DrainHandoff, "done", p.Complete(), "state", p.StateReplicas, "table", p.TableReplicas, "stay", p.StayingNodes, "votes", p.IsVoter, "begun", p.ProposalPending)
@@ -524,7 +526,7 @@
 		}
 		h.sendHeartbeats()
 		in := make(chan *Heartbeat, len(to))
-		by := earlier(until, time.Now().Add(h.host.heartbeat(0.5)))
+		by := earlier(until, time.Now().Add(h.host.Heartbeats(0.5)))
 		for _, ip := range to {
 			go func() {
 				held, ok := h.ensureDurableAt(ip, s, by)
@@ -551,6 +553,6 @@
 		if p.Complete() || !time.Now().Before(until) {
 			return p
 		}
-		time.Sleep(min(h.host.heartbeat(0.05), max(0, time.Until(until))))
+		time.Sleep(min(h.host.Heartbeats(0.05), max(0, time.Until(until))))
 	}
 }
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -28,7 +28,7 @@
 	return w
 }
 
-func (w *town) hut(n int) *ControlServer { return w.nodes[fmt.Sprint(n)].hut }
+func (w *town) hut(n int) *ControlServer { return w.nodes[fmt.Sprint(n)].control }
 
 // votes tells whether hut n has a vote, as hut by knows it.
 func (w *town) votes(by, n int) bool { return w.hut(by).State().Votes(w.hut(n).acceptor.ID) }
@@ -129,7 +129,7 @@
 		defer close(deaf)
 		for {
 			h.loop.Call(func() {
-				now := h.host.steady()
+				now := h.host.Now()
 				h.detector = membership.NewFailureDetector(time.Hour, 0)
 				var ids []string
 				for _, v := range h.acceptor.State.Voters {
@@ -220,7 +220,7 @@
 				continue
 			}
 			resp.Body.Close()
-			if resp.StatusCode == 503 && n.hut.closing.Load() {
+			if resp.StatusCode == 503 && n.control.closing.Load() {
 				refused, retry = refused+1, resp.Header.Get("Retry-After")
 			} else {
 				taken++
@@ -243,7 +243,7 @@
 	})
 	for _, k := range []int{2, 4} {
 		s := w.hut(k).State()
-		if s.Version != 9 || s.Votes(n.hut.acceptor.ID) || !s.Votes(w.hut(4).acceptor.ID) {
+		if s.Version != 9 || s.Votes(n.control.acceptor.ID) || !s.Votes(w.hut(4).acceptor.ID) {
 			t.Errorf("hut %d: version %d, voters %v", k, s.Version, s.Voters)
 		}
 		var kept int
@@ -260,7 +260,7 @@
 		st, body := w.control(4, "GET", "", "")
 		return st == 200 && body == configBody(9, "s1")
 	})
-	n.hut.loop.Close()
+	n.control.loop.Close()
 }
 
 // All leave at once: nobody waits for another without bound, and none hands its
@@ -274,7 +274,7 @@
 	for _, name := range []string{"1", "2", "3", "4"} {
 		n := w.nodes[name]
 		delete(w.nodes, name)
-		n.leaving.Store(true)
+		n.Draining.Store(true)
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -283,10 +283,10 @@
 			if took := time.Since(at); took > time.Second {
 				t.Errorf("hut %s took %v", name, took)
 			}
-			if s := n.hut.State(); s.Slot != before {
+			if s := n.control.State(); s.Slot != before {
 				t.Errorf("hut %s: a place was given: %v", name, s.Voters)
 			}
-			n.hut.loop.Close()
+			n.control.loop.Close()
 		}()
 	}
 	all.Wait()
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -21,40 +21,44 @@
 
 // Node is what every machine runs; hut and trail are added by role.
 type Node struct {
-	settings atomic.Pointer[config.Settings]
-	path     string
-	born     time.Time
-	call     *transport.Client
-	options  Options
-	stop     chan struct{}
-	leaving  atomic.Bool
-	sockets  []net.Listener
+	settings     atomic.Pointer[config.Settings]
+	settingsPath string
+	startedAt    time.Time
+	Client       *transport.Client
+	Options      Options
+	Stopping     chan struct{}
+	Draining     atomic.Bool
+	listeners    []net.Listener
 
-	view *commandloop.Loop
-	way  *peersampling.View
+	ViewLoop *commandloop.Loop
+	View     *peersampling.View
 	// Owned by the view's desk as well.
-	vigil   vigil
-	unheard unheard
+	pauses       pauseDetector
+	unresponsive unresponsivePeers
 
-	hut   *ControlServer
-	trail *FrontServer
-	// kitchen: the node keeps copies for the fronts.
-	kitchen *Fetcher
+	control *ControlServer
+	front   *FrontServer
+	// fetcher: the node keeps copies for the fronts.
+	fetcher *Fetcher
 }
 
-func (n *Node) set() *config.Settings { return n.settings.Load() }
+func (n *Node) Settings() *config.Settings { return n.settings.Load() }
 
-// steady is the node's steady clock.
-func (n *Node) steady() time.Duration { return time.Since(n.born) }
+// Now is the node's steady clock.
+func (n *Node) Now() time.Duration { return time.Since(n.startedAt) }
 
-func (n *Node) userTimeout() time.Duration { return config.Milliseconds(n.set().Bounds.InTouchMs, 0.5) }
+func (n *Node) TCPUserTimeout() time.Duration {
+	return config.Milliseconds(n.Settings().Bounds.InTouchMs, 0.5)
+}
 
-// longHold is how long a call for news may be held at most: one that was lost
+// LongPollTimeout is how long a call for news may be held at most: one that was lost
 // ends before a machine counts as in touch again.
-func (n *Node) longHold() time.Duration { return config.Milliseconds(n.set().Bounds.InTouchMs, 0.75) }
+func (n *Node) LongPollTimeout() time.Duration {
+	return config.Milliseconds(n.Settings().Bounds.InTouchMs, 0.75)
+}
 
-func (n *Node) heartbeat(ratio float64) time.Duration {
-	return config.Milliseconds(n.set().HeartbeatIntervalMs, ratio)
+func (n *Node) Heartbeats(ratio float64) time.Duration {
+	return config.Milliseconds(n.Settings().HeartbeatIntervalMs, ratio)
 }
 
 // Run is the life of a node; it returns the process's exit code.
@@ -67,62 +71,62 @@
 	if dir != "" {
 		s.DataDirectory = dir
 	}
-	tune(s)
-	n, err := open(s, path, options)
+	tuneRuntime(s)
+	n, err := Open(s, path, options)
 	if err != nil {
 		events.Log(events.SettingsInvalid, "err", err)
 		return 3
 	}
-	if n.begin() {
-		events.Log(events.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "hut", n.hut != nil, "trail", n.trail != nil)
+	if n.Start() {
+		events.Log(events.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "hut", n.control != nil, "trail", n.front != nil)
 	}
-	n.signals()
+	n.handleSignals()
 	events.Log(events.Stopped)
 	return 0
 }
 
-// open makes a node of its settings.
-func open(s *config.Settings, path string, options Options) (*Node, error) {
-	n := &Node{path: path, born: time.Now(), stop: make(chan struct{}), options: options}
+// Open makes a node of its settings.
+func Open(s *config.Settings, path string, options Options) (*Node, error) {
+	n := &Node{settingsPath: path, startedAt: time.Now(), Stopping: make(chan struct{}), Options: options}
 	n.settings.Store(s)
-	n.call = transport.NewClient(16, config.Milliseconds(s.Bounds.InTouchMs, 1), n.userTimeout(), n.maxMessage())
-	n.view = commandloop.New()
-	n.unheard = unheard{}
-	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
-	n.way = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
+	n.Client = transport.NewClient(16, config.Milliseconds(s.Bounds.InTouchMs, 1), n.TCPUserTimeout(), n.MaxMessageBytes())
+	n.ViewLoop = commandloop.New()
+	n.unresponsive = unresponsivePeers{}
+	n.pauses.Threshold = time.Duration(float64(callerTimeout(s.Bounds.AcknowledgeMs, 0)) * pauseRatio)
+	n.View = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
 	var err error
 	keeps := options.Role == RoleCache
 	if s.HasDisk() && !keeps {
-		if n.hut, err = NewControlServer(n); err != nil {
+		if n.control, err = NewControlServer(n); err != nil {
 			return nil, err
 		}
 	}
 	if slices.Contains(s.Serves, "front") || keeps {
-		if n.trail, err = NewFrontServer(n, options); err != nil {
+		if n.front, err = NewFrontServer(n, options); err != nil {
 			return nil, err
 		}
 	}
 	return n, nil
 }
 
-// begin listens and starts the controllers.
-func (n *Node) begin() bool {
-	n.view.Call(n.look)
-	if !n.serve() {
+// Start listens and starts the controllers.
+func (n *Node) Start() bool {
+	n.ViewLoop.Call(n.checkPause)
+	if !n.listen() {
 		return false
 	}
-	if n.hut != nil {
-		n.hut.Start()
+	if n.control != nil {
+		n.control.Start()
 	}
-	if n.trail != nil {
-		n.trail.Start()
+	if n.front != nil {
+		n.front.Start()
 	}
 	go n.shuffleLoop()
-	go n.vigilLoop()
+	go n.pauseLoop()
 	return true
 }
 
-func randomName() string {
+func RandomID() string {
 	const letters = "abcdefghijkmnpqrstuvwxyz23456789"
 	b := make([]byte, 12)
 	for i := range b {
@@ -131,45 +135,45 @@
 	return string(b)
 }
 
-func (n *Node) maxMessage() int {
-	mb := n.set().Limits.MemoryMb
+func (n *Node) MaxMessageBytes() int {
+	mb := n.Settings().Limits.MemoryMb
 	if mb <= 0 {
 		mb = 256
 	}
 	return int(mb * (1 << 20) / 32)
 }
 
-func (n *Node) listener(idle time.Duration) transport.ServerOptions {
+func (n *Node) ServerOptions(idle time.Duration) transport.ServerOptions {
 	return transport.ServerOptions{
-		MaxHeaderBytes: 64 << 10, MaxBodyBytes: n.maxMessage(), ReadTimeout: config.Milliseconds(n.set().Bounds.InTouchMs, 2),
-		IdleTimeout: idle, TCPUserTimeout: n.userTimeout(),
+		MaxHeaderBytes: 64 << 10, MaxBodyBytes: n.MaxMessageBytes(), ReadTimeout: config.Milliseconds(n.Settings().Bounds.InTouchMs, 2),
+		IdleTimeout: idle, TCPUserTimeout: n.TCPUserTimeout(),
 	}
 }
 
-// serve opens the port for other nodes and, where the role has it, control.
-func (n *Node) serve() bool {
-	s := n.set()
+// listen opens the port for other nodes and, where the role has it, control.
+func (n *Node) listen() bool {
+	s := n.Settings()
 	addrs := []string{s.InternalAddress(s.IpAddress)}
 	if slices.Contains(s.Serves, "control") {
 		addrs = append(addrs, s.ListenAddresses.ControlAddress)
 	}
 	for i, a := range addrs {
-		ln, ok := transport.Listen(a, n.userTimeout(), n.heartbeat(0.1), n.stop)
+		ln, ok := transport.Listen(a, n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
 		if !ok {
 			return false
 		}
-		handle := n.handleRope
+		handle := n.handleInternal
 		if i > 0 {
-			handle = n.handleControl
+			handle = n.handleOperator
 		}
-		transport.Serve(ln, n.listener(config.Milliseconds(s.Bounds.InTouchMs, 2)), handle)
-		n.sockets = append(n.sockets, ln)
+		transport.Serve(ln, n.ServerOptions(config.Milliseconds(s.Bounds.InTouchMs, 2)), handle)
+		n.listeners = append(n.listeners, ln)
 	}
 	return true
 }
 
-// handleRope takes the calls of other nodes, and control calls as well.
-func (n *Node) handleRope(ctx context.Context, c *app.RequestContext) {
+// handleInternal takes the calls of other nodes, and control calls as well.
+func (n *Node) handleInternal(ctx context.Context, c *app.RequestContext) {
 	switch string(c.Request.URI().PathOriginal()) {
 	case PathShuffle:
 		n.handleShuffle(c)
@@ -178,48 +182,48 @@
 		if !transport.ReadJSON(c, &m) {
 			return
 		}
-		if n.trail == nil {
+		if n.front == nil {
 			transport.WriteJSON(c, 404, map[string]string{"Error": "no front"})
-		} else if say, ok := n.trail.frontend.Lend(m); ok {
+		} else if say, ok := n.front.frontend.Lend(m); ok {
 			transport.WriteJSON(c, 200, say)
 		} else {
 			transport.WriteJSON(c, 409, map[string]string{"Error": "another version is in force here"})
 		}
 	case PathCacheFetch:
-		if n.kitchen == nil {
+		if n.fetcher == nil {
 			transport.WriteJSON(c, 404, map[string]string{"Error": "no larder"})
 			return
 		}
-		n.kitchen.HandleFetch(c)
+		n.fetcher.HandleFetch(c)
 	case PathStatus:
 		transport.WriteJSON(c, 200, n.Status())
 	case PathConfiguration, PathPurge:
-		n.handleControl(ctx, c)
+		n.handleOperator(ctx, c)
 	default:
 		if IsRolloutPath(string(c.Request.URI().PathOriginal())) {
-			n.handleControl(ctx, c)
+			n.handleOperator(ctx, c)
 			return
 		}
-		if n.hut == nil || !n.hut.HandleInternal(c) {
+		if n.control == nil || !n.control.HandleInternal(c) {
 			transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
 		}
 	}
 }
 
-// handleControl takes the operator's calls and passes on what this node can't settle.
-func (n *Node) handleControl(_ context.Context, c *app.RequestContext) {
+// handleOperator takes the operator's calls and passes on what this node can't settle.
+func (n *Node) handleOperator(_ context.Context, c *app.RequestContext) {
 	path, m := string(c.Request.URI().PathOriginal()), string(c.Request.Header.Method())
 	rollout := IsRolloutPath(path)
-	if n.hut != nil && m != "GET" {
-		n.hut.ordersInFlight.Add(1)
-		defer n.hut.ordersInFlight.Add(-1)
-		if n.hut.closing.Load() {
+	if n.control != nil && m != "GET" {
+		n.control.ordersInFlight.Add(1)
+		defer n.control.ordersInFlight.Add(-1)
+		if n.control.closing.Load() {
 			c.Response.Header.Set("Retry-After", "0.2")
 			transport.WriteJSON(c, 503, map[string]string{"Error": "this node leaves"})
 			return
 		}
 	}
-	until := n.until(c)
+	until := n.callerDeadline(c)
 	switch {
 	case path != PathConfiguration && path != PathPurge && !rollout:
 		transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
@@ -229,22 +233,22 @@
 		transport.WriteJSON(c, 405, map[string]string{"Error": "POST only"})
 	case rollout && m != "GET" && !(m == "POST" && path == PathRollouts):
 		transport.WriteJSON(c, 405, map[string]string{"Error": "POST " + PathRollouts + " and GET only"})
-	case m == "POST" && n.doubtful():
+	case m == "POST" && n.recentlyPaused():
 		// A change of the configuration is known as late by its base, an order isn't.
-		n.unsettled(c, "this node stood still, and the order may be an old one")
-	case n.hut == nil || !n.hut.HasState():
-		n.passOn(c, path, until)
+		n.WriteUnavailable(c, "this node stood still, and the order may be an old one")
+	case n.control == nil || !n.control.HasState():
+		n.forward(c, path, until)
 	case rollout:
-		n.hut.HandleRollout(c, path, until)
+		n.control.HandleRollout(c, path, until)
 	case path == PathPurge:
-		n.hut.HandlePurge(c, until)
+		n.control.HandlePurge(c, until)
 	default:
-		n.hut.HandleConfiguration(c, until)
+		n.control.HandleConfiguration(c, until)
 	}
 }
 
-// huts lists the IPs of the nodes that may keep state, those known best first.
-func (n *Node) huts() []string {
+// ControlIPs lists the IPs of the nodes that may keep state, those known best first.
+func (n *Node) ControlIPs() []string {
 	var out []string
 	add := func(ips []string) {
 		for _, ip := range ips {
@@ -253,14 +257,14 @@
 			}
 		}
 	}
-	if n.hut != nil {
-		add(n.hut.VoterIPs())
+	if n.control != nil {
+		add(n.control.VoterIPs())
 	}
-	if n.trail != nil {
-		add(n.trail.ControlIPs())
+	if n.front != nil {
+		add(n.front.ControlIPs())
 	}
-	add(n.set().SeedIPs())
-	n.view.Call(func() { add(n.way.ControlIPs()) })
+	add(n.Settings().SeedIPs())
+	n.ViewLoop.Call(func() { add(n.View.ControlIPs()) })
 	return out
 }
 
@@ -270,7 +274,7 @@
 		return
 	}
 	var give []peersampling.Node
-	n.view.Call(func() { give = n.way.HandleShuffle(m.Nodes) })
+	n.ViewLoop.Call(func() { give = n.View.HandleShuffle(m.Nodes) })
 	transport.WriteJSON(c, 200, ShuffleMessage{give})
 }
 
@@ -278,27 +282,27 @@
 func (n *Node) shuffleLoop() {
 	for {
 		select {
-		case <-n.stop:
+		case <-n.Stopping:
 			return
-		case <-time.After(time.Duration(float64(n.heartbeat(12)) * (0.75 + rand.Float64()/2))):
+		case <-time.After(time.Duration(float64(n.Heartbeats(12)) * (0.75 + rand.Float64()/2))):
 		}
 		var partner peersampling.Node
 		var offer []peersampling.Node
 		ok := false
-		n.view.Call(func() {
-			for _, ip := range n.set().SeedIPs() {
-				if ip != n.set().IpAddress && len(n.way.Nodes()) == 0 {
-					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
+		n.ViewLoop.Call(func() {
+			for _, ip := range n.Settings().SeedIPs() {
+				if ip != n.Settings().IpAddress && len(n.View.Nodes()) == 0 {
+					n.View.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
 				}
 			}
-			partner, offer, ok = n.way.BeginShuffle()
+			partner, offer, ok = n.View.BeginShuffle()
 		})
 		if !ok {
 			continue
 		}
 		var got ShuffleMessage
-		if err := n.call.CallJSON(n.set().InternalAddress(partner.IP), PathShuffle, ShuffleMessage{offer}, &got, n.heartbeat(0.8)); err == nil {
-			n.view.Call(func() { n.way.FinishShuffle(partner, got.Nodes) })
+		if err := n.Client.CallJSON(n.Settings().InternalAddress(partner.IP), PathShuffle, ShuffleMessage{offer}, &got, n.Heartbeats(0.8)); err == nil {
+			n.ViewLoop.Call(func() { n.View.FinishShuffle(partner, got.Nodes) })
 		}
 	}
 }
@@ -316,13 +320,13 @@
 
 // Status tells how the node is doing.
 func (n *Node) Status() Status {
-	st := Status{Node: n.set().NodeName, Zone: n.set().Zone, UpMs: n.steady().Milliseconds(), Leaving: n.leaving.Load()}
-	n.view.Call(func() { st.View = n.way.Nodes() })
-	if n.hut != nil {
-		st.Hut = n.hut.Status()
+	st := Status{Node: n.Settings().NodeName, Zone: n.Settings().Zone, UpMs: n.Now().Milliseconds(), Leaving: n.Draining.Load()}
+	n.ViewLoop.Call(func() { st.View = n.View.Nodes() })
+	if n.control != nil {
+		st.Hut = n.control.Status()
 	}
-	if n.trail != nil {
-		st.Trail = n.trail.Status()
+	if n.front != nil {
+		st.Trail = n.front.Status()
 	}
 	return st
 }
@@ -341,7 +345,7 @@
 	return json.MarshalIndent(pretty, "", "  ")
 }
 
-func fileTime(path string) time.Time {
+func modificationTime(path string) time.Time {
 	if st, err := os.Stat(path); err == nil {
 		return st.ModTime()
 	}
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -21,7 +21,7 @@
 // answer, which only prepares the answer; should the node have stood still
 // meanwhile, it reads anew.
 func (h *ControlServer) answerRead(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
-	ack := h.host.set().Bounds.AcknowledgeMs
+	ack := h.host.Settings().Bounds.AcknowledgeMs
 	for time.Now().Before(until) {
 		s, ok := h.readQuorum(min(config.Milliseconds(ack, 0.6), time.Until(until)))
 		if !ok {
@@ -34,7 +34,7 @@
 		c.Response.Reset()
 	}
 	events.Log(events.ReadNoQuorum)
-	h.host.unsettled(c, "no majority can be reached")
+	h.host.WriteUnavailable(c, "no majority can be reached")
 }
 
 // HandleConfiguration takes the operator's calls.
@@ -56,19 +56,19 @@
 	// A change is known as late by its base: one that came directly may be tried
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
-	if len(c.Request.Header.Peek(headerPassed)) == 0 {
-		settleBy = time.Now().Add(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.8))
+	if len(c.Request.Header.Peek(headerForwardedBy)) == 0 {
+		settleBy = time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.8))
 	}
 	status, text := h.changeConfiguration(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
 	if status == 200 {
-		h.waitFrontsHold(h.State().Slot, min(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
+		h.waitFrontsHold(h.State().Slot, min(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
 		transport.WriteJSON(c, 200, map[string]int64{"Version": text.version})
 		return
 	}
 	events.Log(events.ConfigRejected, "status", status, "why", text.why)
 	switch status {
 	case 503:
-		h.host.unsettled(c, text.why)
+		h.host.WriteUnavailable(c, text.why)
 		return
 	case 412:
 		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
@@ -171,5 +171,5 @@
 
 // readDuringProposal is a read in the middle of settling an order, no longer than that may take.
 func (h *ControlServer) readDuringProposal(until time.Time) (consensus.State, bool) {
-	return h.readQuorum(min(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
+	return h.readQuorum(min(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
 }
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -21,12 +21,12 @@
 		size int
 		want time.Duration
 	}{{6000, 0, 1200 * time.Millisecond}, {6000, 64 << 10, 1800 * time.Millisecond}, {6000, 8 << 20, 4800 * time.Millisecond}, {500, 0, 100 * time.Millisecond}} {
-		if got := patience(c.ack, c.size); got != c.want {
+		if got := callerTimeout(c.ack, c.size); got != c.want {
 			t.Errorf("of %v with %d bytes: %v, want %v", c.ack, c.size, got, c.want)
 		}
 	}
 	for told, want := range map[string]time.Duration{"": time.Second, "400": 400 * time.Millisecond, "0": 0, "5000": time.Second, "x": 0, "-3": 0, "99999999999999": time.Second} {
-		if got := patienceLeft(time.Second, told); got != want {
+		if got := timeLeft(time.Second, told); got != want {
 			t.Errorf("told %q: %v, want %v", told, got, want)
 		}
 	}
@@ -34,43 +34,43 @@
 
 func TestVigilSeesThatTheNodeStoodStill(t *testing.T) {
 	ms := time.Millisecond
-	v := vigil{Gap: 300 * ms}
+	v := pauseDetector{Threshold: 300 * ms}
 	// How long it took to begin is no standing still.
 	for _, at := range []time.Duration{5000, 5075, 5150, 5450, 5600} {
-		if still := v.Look(at * ms); still > 0 || v.Doubtful(at*ms) {
+		if still := v.Check(at * ms); still > 0 || v.RecentlyPaused(at*ms) {
 			t.Fatalf("at %d it stood still for %v", at, still)
 		}
 	}
-	if still := v.Look(6600 * ms); still != 1000*ms {
+	if still := v.Check(6600 * ms); still != 1000*ms {
 		t.Fatalf("it stood still for %v", still)
 	}
-	v.Look(6700 * ms)
+	v.Check(6700 * ms)
 	for at, want := range map[time.Duration]bool{6600: true, 6700: true, 6899: true, 6900: false, 8000: false} {
-		if v.Doubtful(at*ms) != want {
+		if v.RecentlyPaused(at*ms) != want {
 			t.Errorf("at %d calls are in doubt: %v", at, !want)
 		}
 	}
 }
 
 func TestUnheardAreAskedLast(t *testing.T) {
-	u := unheard{}
+	u := unresponsivePeers{}
 	ips := []string{"a", "b", "c", "d"}
-	u.Note("a", false, 10)
-	u.Note("c", false, 15)
+	u.Record("a", false, 10)
+	u.Record("c", false, 15)
 	for _, c := range []struct {
 		now  time.Duration
 		want string
 	}{{20, "bdac"}, {105, "bdac"}, {111, "abdc"}, {200, "abcd"}} {
-		if got := strings.Join(u.Last(ips, c.now, 100), ""); got != c.want {
+		if got := strings.Join(u.SortLast(ips, c.now, 100), ""); got != c.want {
 			t.Errorf("at %d: %s, want %s", c.now, got, c.want)
 		}
 	}
 	if len(u) > 0 {
 		t.Errorf("still kept: %v", u)
 	}
-	u.Note("b", false, 210)
-	u.Note("b", true, 220)
-	if got := u.Last(ips, 230, 100); !slices.Equal(got, ips) {
+	u.Record("b", false, 210)
+	u.Record("b", true, 220)
+	if got := u.SortLast(ips, 230, 100); !slices.Equal(got, ips) {
 		t.Errorf("one that answered again is asked last: %v", got)
 	}
 }
@@ -104,15 +104,15 @@
 
 // gateway is a front that only takes calls, and knows of huts 9 and 8.
 func (w *town) gateway() *Node {
-	node, err := open(w.settings(11, false, 9, 8), "", DefaultOptions())
+	node, err := Open(w.settings(11, false, 9, 8), "", DefaultOptions())
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if !node.serve() {
+	if !node.listen() {
 		w.t.Fatal("it does not listen")
 	}
 	w.nodes["11"] = node
-	go node.vigilLoop()
+	go node.pauseLoop()
 	return node
 }
 
@@ -150,13 +150,13 @@
 	w.other(9, func(http.ResponseWriter, *http.Request) { hung.Add(1); <-hold })
 	w.other(8, func(rw http.ResponseWriter, r *http.Request) {
 		settled.Add(1)
-		left.Store(r.Header.Get(headerPatience))
+		left.Store(r.Header.Get(headerTimeLeft))
 		rw.Header().Set("ETag", "7")
 		rw.Header().Set("Retry-After", "0.25")
 		rw.WriteHeader(412)
 	})
 	defer close(hold)
-	own := patience(node.set().Bounds.AcknowledgeMs, len(anOrder))
+	own := callerTimeout(node.Settings().Bounds.AcknowledgeMs, len(anOrder))
 	at := time.Now()
 	status, h := w.sendOrder(11, PathRollouts, anOrder, nil)
 	if took := time.Since(at); status != 412 || took > own {
@@ -173,7 +173,7 @@
 		t.Errorf("%d; the one that hangs was asked %d times, the other %d", status, hung.Load(), settled.Load())
 	}
 	// What is left of the patience counts from the first node on.
-	if status, _ = w.sendOrder(11, PathRollouts, anOrder, map[string]string{headerPassed: "x"}); status != 503 {
+	if status, _ = w.sendOrder(11, PathRollouts, anOrder, map[string]string{headerForwardedBy: "x"}); status != 503 {
 		t.Errorf("passed on twice: %d", status)
 	}
 }
@@ -186,7 +186,7 @@
 	for _, n := range []int{8, 9} {
 		w.other(n, func(http.ResponseWriter, *http.Request) { <-hold })
 	}
-	own := patience(node.set().Bounds.AcknowledgeMs, len(anOrder))
+	own := callerTimeout(node.Settings().Bounds.AcknowledgeMs, len(anOrder))
 	at := time.Now()
 	status, h := w.sendOrder(11, PathRollouts, anOrder, nil)
 	if took := time.Since(at); status != 503 || took > own+own/2 {
@@ -203,14 +203,14 @@
 		status, _ := w.control(1, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
-	return w, node.hut
+	return w, node.control
 }
 
 func TestOrderThatWaitedInAFrozenNode(t *testing.T) {
 	w, h := alone(t)
-	gap := h.host.vigil.Gap
+	gap := h.host.pauses.Threshold
 	frozen := make(chan struct{})
-	go h.host.view.Call(func() { close(frozen); time.Sleep(3 * gap) })
+	go h.host.ViewLoop.Call(func() { close(frozen); time.Sleep(3 * gap) })
 	<-frozen
 	for path, body := range map[string]string{PathRollouts: anOrder, PathPurge: `{"Tag":"x"}`} {
 		status, head := w.sendOrder(1, path, body, nil)
@@ -224,7 +224,7 @@
 	}
 	// A change bears its lateness, and later orders are taken.
 	w.eventually("orders are taken again", func() bool { status, _ := w.sendOrder(1, PathRollouts, anOrder, nil); return status == 200 })
-	go h.host.view.Call(func() { time.Sleep(2 * gap) })
+	go h.host.ViewLoop.Call(func() { time.Sleep(2 * gap) })
 	if status, body := w.control(1, "PUT", "3", configBody(5, "s1")); status != 200 {
 		t.Errorf("a change after a freeze: %d %s", status, body)
 	}
@@ -241,7 +241,7 @@
 	for path, body := range map[string]string{PathRollouts: anOrder, PathPurge: `{"Tag":"x"}`} {
 		calls++
 		go func() {
-			status, head := w.sendOrder(1, path, body, map[string]string{headerPassed: "x", headerPatience: "120"})
+			status, head := w.sendOrder(1, path, body, map[string]string{headerForwardedBy: "x", headerTimeLeft: "120"})
 			soon(t, head)
 			got <- status
 		}()
@@ -324,7 +324,7 @@
 	// Long after, it is a new order.
 	h.loop.Call(func() {
 		for slot := range h.rollouts.orderKnownAt {
-			h.rollouts.orderKnownAt[slot] -= 4 * time.Duration(h.host.set().Bounds.AcknowledgeMs) * time.Millisecond
+			h.rollouts.orderKnownAt[slot] -= 4 * time.Duration(h.host.Settings().Bounds.AcknowledgeMs) * time.Millisecond
 		}
 	})
 	if status := order("v2"); status != 200 {
@@ -343,7 +343,7 @@
 		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
 		return status == 200
 	})
-	one, two := w.nodes["1"].hut, w.nodes["2"].hut
+	one, two := w.nodes["1"].control, w.nodes["2"].control
 	w.eventually("the first order", func() bool { status, _ := w.sendOrder(1, PathRollouts, anOrder, nil); return status == 200 })
 	w.eventually("both know it", func() bool { _, ok := two.State().Rollout("plain"); return ok })
 	old := two.State()
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -19,26 +19,26 @@
 		var silence, holds bool
 		h.loop.Call(func() {
 			silence = h.frontsMissEndpoints()
-			if !h.host.leaving.Load() {
-				epoch, holds = h.pollLease.FencingToken(h.host.steady())
+			if !h.host.Draining.Load() {
+				epoch, holds = h.pollLease.FencingToken(h.host.Now())
 			}
 		})
-		wait := h.host.heartbeat(0.2)
+		wait := h.host.Heartbeats(0.2)
 		if holds {
 			// While fronts miss searchers, new ones are looked for more often.
-			wait = config.Milliseconds(h.host.set().Bounds.DrainMs, 0.25)
+			wait = config.Milliseconds(h.host.Settings().Bounds.DrainMs, 0.25)
 			if silence {
-				wait = config.Milliseconds(h.host.set().Bounds.DrainMs, 0.08)
+				wait = config.Milliseconds(h.host.Settings().Bounds.DrainMs, 0.08)
 			}
 			if h.catchUpTable(epoch) {
 				h.pollOnce(epoch)
 				h.removeSilentCacheNodes()
 			} else {
-				wait = h.host.heartbeat(0.05)
+				wait = h.host.Heartbeats(0.05)
 			}
 		}
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
 		case <-time.After(wait):
 		case <-h.leaseAcquired:
@@ -58,7 +58,7 @@
 		}
 		from = held
 		for at, t := range h.grantorTables {
-			if t.epoch == epoch && from.Before(t.stamp) && h.pollLease.Alive(t.voter, h.host.steady()) {
+			if t.epoch == epoch && from.Before(t.stamp) && h.pollLease.Alive(t.voter, h.host.Now()) {
 				ip, id, from = at, t.voter, t.stamp
 			}
 		}
@@ -67,10 +67,10 @@
 		return true
 	}
 	var say TableFetchResponse
-	err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathTableFetch, TableFetchRequest{held}, &say, h.host.heartbeat(0.8))
+	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathTableFetch, TableFetchRequest{held}, &say, h.host.Heartbeats(0.8))
 	var d *endpoints.Delta
 	if err == nil {
-		d, err = UnpackTableDelta(say.Delta, h.host.maxMessage())
+		d, err = UnpackTableDelta(say.Delta, h.host.MaxMessageBytes())
 	}
 	if err != nil {
 		events.Log(events.TableSyncFailed, "voter", id, "err", err)
@@ -90,7 +90,7 @@
 		return
 	}
 	h.loop.Call(func() {
-		if now, ok := h.pollLease.FencingToken(h.host.steady()); !ok || now != epoch {
+		if now, ok := h.pollLease.FencingToken(h.host.Now()); !ok || now != epoch {
 			events.Log(events.DiscoveryDiscarded, "epoch", epoch)
 			return
 		}
@@ -133,13 +133,13 @@
 	var out []endpoints.Endpoint
 	token := ""
 	seen := map[string]bool{}
-	within := config.Milliseconds(h.host.set().Bounds.DrainMs, 0.25)
+	within := config.Milliseconds(h.host.Settings().Bounds.DrainMs, 0.25)
 	for page := 0; page < 1000; page++ {
 		path := "/instances"
 		if token != "" {
 			path += "?PageToken=" + url.QueryEscape(token)
 		}
-		rep, err := h.host.call.Do(h.host.set().CloudApi.Address, "GET", path, nil, nil, within)
+		rep, err := h.host.Client.Do(h.host.Settings().CloudApi.Address, "GET", path, nil, nil, within)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -23,9 +23,9 @@
 	done  chan bool
 }
 
-// purgeMs is how long a purge may take to be everywhere.
-func (n *Node) purgeMs(ratio float64) time.Duration {
-	b := n.set().Bounds
+// PurgeTime is how long a purge may take to be everywhere.
+func (n *Node) PurgeTime(ratio float64) time.Duration {
+	b := n.Settings().Bounds
 	if b.PurgeMs > 0 {
 		return config.Milliseconds(b.PurgeMs, ratio)
 	}
@@ -46,24 +46,24 @@
 		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	w := &pendingPurge{purge: consensus.Purge{ID: randomName(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
+	w := &pendingPurge{purge: consensus.Purge{ID: RandomID(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
 	select {
 	case h.purgeQueue <- w:
 	default:
-		h.host.unsettled(c, "too many purges wait")
+		h.host.WriteUnavailable(c, "too many purges wait")
 		return
 	}
 	select {
 	case ok := <-w.done:
 		if ok && h.waitReplicated(until) {
-			h.waitFrontsHold(h.State().Slot, min(h.host.purgeMs(0.25), time.Until(until)/2))
+			h.waitFrontsHold(h.State().Slot, min(h.host.PurgeTime(0.25), time.Until(until)/2))
 			transport.WriteJSON(c, 200, map[string]string{"Purged": w.purge.ID})
 			return
 		}
-	case <-h.host.stop:
+	case <-h.host.Stopping:
 	}
 	events.Log(events.PurgeNoQuorum, "host", o.HostName, "path", o.Path, "tag", o.Tag)
-	h.host.unsettled(c, "no majority agreed in time")
+	h.host.WriteUnavailable(c, "no majority agreed in time")
 }
 
 // purgeLoop decides the purges that wait, many at once.
@@ -71,12 +71,12 @@
 	for {
 		var batch []*pendingPurge
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
 		case w := <-h.purgeQueue:
 			batch = append(batch, w)
 		}
-		time.Sleep(h.host.purgeMs(0.02))
+		time.Sleep(h.host.PurgeTime(0.02))
 		for more := true; more && len(batch) < maxPurgeBatch; {
 			select {
 			case w := <-h.purgeQueue:
@@ -158,7 +158,7 @@
 
 // changeCacheNodes proposes another list; nil from change means that it is as wanted.
 func (h *ControlServer) changeCacheNodes(change func([]consensus.Larder) []consensus.Larder) bool {
-	if !h.proposalLock.LockUrgent(h.host.heartbeat(0.3)) {
+	if !h.proposalLock.LockUrgent(h.host.Heartbeats(0.3)) {
 		return false
 	}
 	defer h.proposalLock.Unlock()
@@ -183,8 +183,8 @@
 func (h *ControlServer) removeSilentCacheNodes() {
 	var gone map[string]bool
 	h.loop.Call(func() {
-		now := h.host.steady()
-		long := config.Seconds(h.host.set().Bounds.CatchUpS, 1)
+		now := h.host.Now()
+		long := config.Seconds(h.host.Settings().Bounds.CatchUpS, 1)
 		for _, l := range h.acceptor.State.Larders {
 			at := h.cacheNodeHeardAt[l.IP]
 			for _, f := range h.fronts {
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -125,7 +125,7 @@
 			}
 			// The store writes every record again; only nobody is told of it.
 			h.lastWrite.version, h.lastWrite.takenSeq = min(h.lastWrite.version, version), min(h.lastWrite.takenSeq, seq)
-			time.AfterFunc(h.host.heartbeat(0.1), func() {
+			time.AfterFunc(h.host.Heartbeats(0.1), func() {
 				h.loop.Submit(func() {
 					if h.acceptor.StateKept() < h.acceptor.State.Slot {
 						h.persistState()
@@ -165,8 +165,8 @@
 	})
 	select {
 	case <-w.done:
-	case <-time.After(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.5)):
-	case <-h.host.stop:
+	case <-time.After(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.5)):
+	case <-h.host.Stopping:
 	}
 	h.loop.Call(func() {
 		slot = h.acceptor.StateKept()
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -63,7 +63,7 @@
 
 // applyRollouts takes the orders as they were decided; it runs on the desk.
 func (h *ControlServer) applyRollouts() {
-	now, known := h.host.steady(), h.rollouts.phaseKnownAt
+	now, known := h.host.Now(), h.rollouts.phaseKnownAt
 	h.rollouts.phaseKnownAt = map[int64]knownPhase{}
 	ordered := h.rollouts.orderKnownAt
 	h.rollouts.orderKnownAt = map[int64]time.Duration{}
@@ -112,7 +112,7 @@
 
 // onRolloutTotals takes all that another hut was told; it runs on the desk.
 func (h *ControlServer) onRolloutTotals(m RolloutTotals) {
-	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.steady(), m.Behind}
+	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.Now(), m.Behind}
 	h.evaluate(h.rollouts.totals.Merge(m.ID, m.Life, m.Seq, m.Entries))
 }
 
@@ -132,7 +132,7 @@
 func (h *ControlServer) evaluator(r consensus.Rollout) *rollout.Judge {
 	j := h.rollouts.evaluators[r.N]
 	if j == nil {
-		j = rollout.NewJudge(h.host.options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.host.steady())
+		j = rollout.NewJudge(h.host.Options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.host.Now())
 		h.rollouts.evaluators[r.N] = j
 	}
 	return j
@@ -142,7 +142,7 @@
 // not know the present phase; it runs on the desk.
 func (h *ControlServer) laggingFronts() map[int64]int {
 	out := map[int64]int{}
-	now := h.host.steady()
+	now := h.host.Now()
 	for _, r := range h.acceptor.State.Rollouts {
 		if !r.Running() {
 			continue
@@ -160,9 +160,9 @@
 func (h *ControlServer) rolloutLoop() {
 	for {
 		select {
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return
-		case <-time.After(h.host.heartbeat(0.15)):
+		case <-time.After(h.host.Heartbeats(0.15)):
 		}
 		var steps []consensus.Rollout
 		var send *RolloutTotals
@@ -172,7 +172,7 @@
 		})
 		if send != nil && to != "" {
 			go func() {
-				_ = h.host.call.CallJSON(h.host.set().InternalAddress(to), PathRolloutTotals, *send, nil, h.host.heartbeat(0.5))
+				_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(to), PathRolloutTotals, *send, nil, h.host.Heartbeats(0.5))
 			}()
 		}
 		for _, r := range steps {
@@ -184,7 +184,7 @@
 // rolloutStep does what is due now: it notes the time, tells the node with the duty
 // what was seen, or, on that node, gives the phases to propose. It runs on the desk.
 func (h *ControlServer) rolloutStep() (steps []consensus.Rollout, send *RolloutTotals, to string) {
-	now, c := h.host.steady(), &h.rollouts
+	now, c := h.host.Now(), &h.rollouts
 	running := slices.DeleteFunc(slices.Clone(h.acceptor.State.Rollouts), func(r consensus.Rollout) bool { return !r.Running() })
 	if len(running) == 0 {
 		if len(c.evaluators)+len(c.reporters) > 0 {
@@ -195,7 +195,7 @@
 		}
 		return nil, nil, ""
 	}
-	if now-c.termsNotedAt >= h.host.heartbeat(1) {
+	if now-c.termsNotedAt >= h.host.Heartbeats(1) {
 		h.persistTerms(now)
 	}
 	c.sequence++
@@ -223,15 +223,15 @@
 		}
 		f := rollout.Facts{
 			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.phaseKnownAt[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
-			Behind: lag[r.N], Report: h.host.heartbeat(0.6), Settle: config.Milliseconds(h.host.set().Bounds.ConfigEffectMs, 0.5),
+			Behind: lag[r.N], Report: h.host.Heartbeats(0.6), Settle: config.Milliseconds(h.host.Settings().Bounds.ConfigEffectMs, 0.5),
 		}
 		for _, b := range c.laggingReports {
-			if now-b.at < h.host.heartbeat(1) {
+			if now-b.at < h.host.Heartbeats(1) {
 				f.Behind += b.orders[r.N]
 			}
 		}
 		f.Ready, f.Old = h.capacity(r)
-		if s := rollout.Decide(f, h.host.options.Rollout, h.host.exposure()); s.Phase != "" {
+		if s := rollout.Decide(f, h.host.Options.Rollout, h.host.RolloutExposure()); s.Phase != "" {
 			steps = append(steps, consensus.Rollout{N: r.N, Service: r.Service, Target: r.Target, Phase: s.Phase, SpentMs: f.Spent.Milliseconds(), ForMs: s.For.Milliseconds(), Asked: j.New, Of: j.New + j.Old, Why: s.Why})
 		}
 	}
@@ -265,7 +265,7 @@
 		return
 	}
 	defer h.proposalLock.Unlock()
-	until := time.Now().Add(config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.3))
+	until := time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3))
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
 		now, ok := s.Rollout(r.Service)
@@ -328,7 +328,7 @@
 	case 200:
 		transport.WriteJSON(c, 200, map[string]string{"Service": o.Service, "TargetVersion": o.TargetVersion})
 	case 503:
-		h.host.unsettled(c, why)
+		h.host.WriteUnavailable(c, why)
 	default:
 		transport.WriteJSON(c, status, map[string]string{"Error": why})
 	}
@@ -394,7 +394,7 @@
 	}
 	at := time.Duration(0)
 	h.loop.Call(func() { at = h.rollouts.orderKnownAt[slot] })
-	return h.host.steady()-at < config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, duplicateOrderWindow)
+	return h.host.Now()-at < config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, duplicateOrderWindow)
 }
 
 // hasService tells whether the configuration in force names a service.
@@ -428,7 +428,7 @@
 		for _, r := range slices.Backward(s.Rollouts) {
 			x := RolloutStatus{Service: r.Service, State: r.State(), TargetVersion: r.Target, FromVersion: r.From, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.Asked, Of: r.Of, Why: r.Why}
 			if r.Running() {
-				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.N, h.host.steady()).Seconds())
+				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.N, h.host.Now()).Seconds())
 			}
 			out = append(out, x)
 		}
--- a/internal/lodge/rollout_test.go
+++ b/internal/lodge/rollout_test.go
@@ -29,7 +29,7 @@
 	w.t.Helper()
 	w.eventually("the fronts hold "+string(phase), func() bool {
 		for _, n := range []string{"11", "12"} {
-			if l := w.nodes[n].trail.frontend.Current().Lanes["plain"]; l == nil || l.Phase != phase {
+			if l := w.nodes[n].front.frontend.Current().Lanes["plain"]; l == nil || l.Phase != phase {
 				return false
 			}
 		}
@@ -182,7 +182,7 @@
 	for _, id := range []string{"plain-c-new", "plain-d-new"} {
 		w.searcher("plain", id).set("500")
 	}
-	holder := w.nodes["1"].hut
+	holder := w.nodes["1"].control
 	holder.proposalLock.Lock() // it can't propose
 	defer holder.proposalLock.Unlock()
 	if status, body := w.roll(3, "v2", 40); status != 200 {
@@ -214,8 +214,8 @@
 	}
 	w.stop("11")
 	again := w.run(11, false, 1, 2, 3)
-	w.eventually("it serves", func() bool { return again.trail.ready.Load() && again.trail.listener.Load() != nil })
-	l := again.trail.frontend.Current().Lanes["plain"]
+	w.eventually("it serves", func() bool { return again.front.ready.Load() && again.front.listener.Load() != nil })
+	l := again.front.frontend.Current().Lanes["plain"]
 	if l == nil || l.From != "v1" || l.Target != "v2" || l.Phase != "canary" {
 		t.Fatalf("ready without the order: %+v", l)
 	}
@@ -236,7 +236,7 @@
 	for _, h := range []string{"1", "2", "3"} {
 		w.stop(h)
 	}
-	time.Sleep(again.deaf() + 400*time.Millisecond)
+	time.Sleep(again.MajorityTimeout() + 400*time.Millisecond)
 	before = asked()
 	for range 100 {
 		w.ask(11, "GET", "/p/x", "")
@@ -294,7 +294,7 @@
 	defer repeat(3, func(i int) { w.control(i+1, "PUT", "0", configBody(3, "s1")) })()
 	time.Sleep(100 * time.Millisecond)
 	node := w.run(5, false, 1, 2, 3)
-	w.eventually("the fifth votes", func() bool { s := node.hut.State(); return s.Votes(node.hut.acceptor.ID) })
+	w.eventually("the fifth votes", func() bool { s := node.control.State(); return s.Votes(node.control.acceptor.ID) })
 }
 
 // Without a majority nothing is decided and the new version is left alone;
@@ -310,7 +310,7 @@
 	w.eventually("the new version is asked", func() bool { return asked() > 0 })
 	w.stop("2")
 	w.stop("3")
-	time.Sleep(w.nodes["11"].deaf() + 600*time.Millisecond)
+	time.Sleep(w.nodes["11"].MajorityTimeout() + 600*time.Millisecond)
 	before := asked()
 	time.Sleep(500 * time.Millisecond)
 	if now := asked(); now != before {
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -234,11 +234,11 @@
 	if n > 20 {
 		opt.Role = RoleCache
 	}
-	node, err := open(w.settings(n, first, seeds...), "", opt)
+	node, err := Open(w.settings(n, first, seeds...), "", opt)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if !node.begin() {
+	if !node.Start() {
 		w.t.Fatal("a node does not listen")
 	}
 	w.nodes[fmt.Sprint(n)] = node
@@ -252,18 +252,18 @@
 		return
 	}
 	delete(w.nodes, name)
-	close(n.stop)
-	for _, l := range n.sockets {
+	close(n.Stopping)
+	for _, l := range n.listeners {
 		l.Close()
 	}
-	if n.trail != nil {
-		if l := n.trail.listener.Load(); l != nil {
+	if n.front != nil {
+		if l := n.front.listener.Load(); l != nil {
 			(*l).Close()
 		}
 	}
-	if n.hut != nil {
-		n.hut.store.Close(time.Second)
-		n.hut.loop.Close()
+	if n.control != nil {
+		n.control.store.Close(time.Second)
+		n.control.loop.Close()
 	}
 }
 
--- a/internal/lodge/start_test.go
+++ b/internal/lodge/start_test.go
@@ -17,11 +17,11 @@
 // startHut opens the hut of node 1, without its loops.
 func startHut(t *testing.T, w *town, first bool) *ControlServer {
 	t.Helper()
-	n, err := open(w.settings(1, first, 1, 2, 3), "", DefaultOptions())
+	n, err := Open(w.settings(1, first, 1, 2, 3), "", DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n.hut
+	return n.control
 }
 
 // Each start counts one life more, and the count is on disk before the hut is there.
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -50,7 +50,7 @@
 func (h *ControlServer) Status() *ControlStatus {
 	st := &ControlStatus{Fronts: map[string]int64{}}
 	h.loop.Call(func() {
-		s, now := h.acceptor.State, h.host.steady()
+		s, now := h.acceptor.State, h.host.Now()
 		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.Votes(h.acceptor.ID)
 		var silent []time.Duration
 		for _, v := range s.Voters {
@@ -64,7 +64,7 @@
 		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.Accepted.String()
 		st.Resends, st.Changes = len(s.Taken), s.TakenSeq
 		for _, o := range h.peers {
-			if now-o.heardAt < h.host.heartbeat(2) {
+			if now-o.heardAt < h.host.Heartbeats(2) {
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
 			}
 		}
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -33,10 +33,10 @@
 func (h *ControlServer) sendTable(ip string, held endpoints.Stamp) {
 	stamp, d, whole := h.table.Stamp, h.tableDelta(held), h.tableDelta(endpoints.Stamp{})
 	go func() {
-		addr, within := h.host.set().InternalAddress(ip), h.host.heartbeat(0.8)
+		addr, within := h.host.Settings().InternalAddress(ip), h.host.Heartbeats(0.8)
 		var say TableResponse
-		if err := h.host.call.CallJSON(addr, PathTable, TableRequest{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
-			_ = h.host.call.CallJSON(addr, PathTable, TableRequest{whole}, &say, within)
+		if err := h.host.Client.CallJSON(addr, PathTable, TableRequest{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
+			_ = h.host.Client.CallJSON(addr, PathTable, TableRequest{whole}, &say, within)
 		}
 	}()
 }
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -160,28 +160,28 @@
 }
 
 func NewFrontServer(n *Node, opt Options) (*FrontServer, error) {
-	s := n.set()
+	s := n.Settings()
 	b := s.Bounds
-	pool, err := ants.NewPool(int(max(256, s.Limits.FileDescriptors/2)), ants.WithNonblocking(true), ants.WithExpiryDuration(n.heartbeat(8)))
+	pool, err := ants.NewPool(int(max(256, s.Limits.FileDescriptors/2)), ants.WithNonblocking(true), ants.WithExpiryDuration(n.Heartbeats(8)))
 	if err != nil {
 		return nil, err
 	}
 	t := &FrontServer{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
 	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), Idle: config.Milliseconds(b.InTouchMs, 3)}
 	t.endpoints = upstream.New(upstream.Options{
-		Distance: n.distance, UserTimeout: n.userTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.maxMessage(),
+		Distance: n.Distance, UserTimeout: n.TCPUserTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.MaxMessageBytes(),
 		KeepIdle: config.Milliseconds(b.InTouchMs, 1), Settle: config.Milliseconds(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Milliseconds(b.InTouchMs, 0.2),
 		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Milliseconds(b.InTouchMs, 0.75),
 	})
 	t.retryBudget = ratelimit.New(ratelimit.Rules{
 		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
-	}, n.steady())
-	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.steady, HedgeAt: opt.HedgeAt}
-	t.frontend = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.userTimeout(), Hold: n.heartbeat(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.deaf()}, guide)
+	}, n.Now())
+	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.Now, HedgeAt: opt.HedgeAt}
+	t.frontend = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.TCPUserTimeout(), Hold: n.Heartbeats(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.MajorityTimeout()}, guide)
 	if opt.Saddle {
-		t.relays = relay.NewChoice(n.heartbeat(1))
+		t.relays = relay.NewChoice(n.Heartbeats(1))
 		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
-			err := n.call.CallJSON(n.set().InternalAddress(ip), PathRelay, ask, say, within)
+			err := n.Client.CallJSON(n.Settings().InternalAddress(ip), PathRelay, ask, say, within)
 			if err != nil {
 				// Others may do better.
 				t.rosterAskedAt.Store(0)
@@ -190,28 +190,28 @@
 		})
 	}
 	t.cacheNode = opt.Role == RoleCache
-	t.cacheNodeHealth = relay.NewChoice(n.heartbeat(1))
+	t.cacheNodeHealth = relay.NewChoice(n.Heartbeats(1))
 	memory := s.Limits.MemoryMb * (1 << 20)
 	if memory <= 0 {
 		memory = 256 << 20
 	}
-	t.cacheHandler = frontend.NewPantry(int(memory*opt.Shelf), n.steady, t)
+	t.cacheHandler = frontend.NewPantry(int(memory*opt.Shelf), n.Now, t)
 	t.frontend.SetPantry(t.cacheHandler)
 	if t.cacheNode {
 		t.fetcher = NewFetcher(n, t, int(memory*opt.LarderShelf))
-		n.kitchen = t.fetcher
+		n.fetcher = t.fetcher
 	} else {
 		t.fetcher = NewFetcher(n, t, int(memory*opt.Shelf/4))
 	}
 	t.layouts = shardmap.New(shardmap.Options{
-		R: opt.Slots, Least: 2, Lease: n.heartbeat(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
+		R: opt.Slots, Least: 2, Lease: n.Heartbeats(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
 	})
 	t.progress.Store(&progress{slot: -1, purge: -1, rolloutSlot: -1})
 	t.endpoints.Full = func(id string) {
-		t.loop.Submit(func() { t.layouts.Answered(id, n.steady()); t.advanceLayouts() })
+		t.loop.Submit(func() { t.layouts.Answered(id, n.Now()); t.advanceLayouts() })
 	}
 	t.endpoints.Silent = func(id string) {
-		t.loop.Submit(func() { t.layouts.Silent(id, n.steady()); t.advanceLayouts() })
+		t.loop.Submit(func() { t.layouts.Silent(id, n.Now()); t.advanceLayouts() })
 	}
 	t.rollouts.reset()
 	t.endpoints.Seen = t.recordAttempt
@@ -226,7 +226,7 @@
 
 func (t *FrontServer) Start() {
 	t.loop.Call(func() {
-		for _, ip := range t.host.set().SeedIPs() {
+		for _, ip := range t.host.Settings().SeedIPs() {
 			t.controlNodes = append(t.controlNodes, ControlNode{IP: ip})
 		}
 		t.pickWatchTargets()
@@ -254,9 +254,9 @@
 	return out
 }
 
-// distance tells how far a zone is: this node's own, its region, or beyond.
-func (n *Node) distance(zone string) int {
-	s := n.set()
+// Distance tells how far a zone is: this node's own, its region, or beyond.
+func (n *Node) Distance(zone string) int {
+	s := n.Settings()
 	if zone == s.Zone {
 		return 0
 	}
@@ -270,21 +270,21 @@
 // nearest first, those that did not answer lately last. However many fronts
 // and huts there are, a front holds that many calls. It runs on the desk.
 func (t *FrontServer) pickWatchTargets() {
-	n, now := t.host, t.host.steady()
+	n, now := t.host, t.host.Now()
 	order := slices.Clone(t.controlNodes)
 	rank := func(h ControlNode) (int, int, uint64) {
 		bad := 0
 		if now < t.unresponsiveUntil[h.IP] {
 			bad = 1
 		}
-		return bad, n.distance(h.Zone), upstream.Draw(n.set().NodeName + " " + h.IP)
+		return bad, n.Distance(h.Zone), upstream.Draw(n.Settings().NodeName + " " + h.IP)
 	}
 	slices.SortFunc(order, func(a, b ControlNode) int {
 		ab, ad, ah := rank(a)
 		bb, bd, bh := rank(b)
 		return cmp.Or(cmp.Compare(ab, bb), cmp.Compare(ad, bd), cmp.Compare(ah, bh))
 	})
-	most := max(2, int(n.set().ToleratedLosses.GetMachines())+1)
+	most := max(2, int(n.Settings().ToleratedLosses.GetMachines())+1)
 	if t.layouts.LastBuilt == 0 {
 		// At the start whoever answers first will do.
 		most = len(order)
@@ -304,10 +304,10 @@
 	n := t.host
 	brief := true
 	fails := 0
-	hold := n.heartbeat(1)
+	hold := n.Heartbeats(1)
 	for {
 		select {
-		case <-n.stop:
+		case <-n.Stopping:
 			return
 		default:
 		}
@@ -324,24 +324,24 @@
 		}
 		h := t.progress.Load()
 		ask := WatchRequest{
-			Name: n.set().NodeName, IP: n.set().IpAddress, Slot: h.slot, Purge: h.purge, Rolled: h.rolloutSlot, Stamp: h.stamp, Brief: brief && !first,
-			Zone: n.set().Zone, Ready: t.ready.Load() && !n.leaving.Load(), Out: t.endpoints.Out(), HoldMs: hold.Milliseconds(),
+			Name: n.Settings().NodeName, IP: n.Settings().IpAddress, Slot: h.slot, Purge: h.purge, Rolled: h.rolloutSlot, Stamp: h.stamp, Brief: brief && !first,
+			Zone: n.Settings().Zone, Ready: t.ready.Load() && !n.Draining.Load(), Out: t.endpoints.Out(), HoldMs: hold.Milliseconds(),
 			First: first, Larder: t.cacheNode, Roster: first && t.rosterDue(), Hello: !t.locatedControl.Load(), Heard: t.unreachableRevision.Load(),
 		}
 		var say WatchResponse
-		err := n.call.CallJSON(n.set().InternalAddress(ip), PathWatch, ask, &say, hold+n.heartbeat(0.8))
+		err := n.Client.CallJSON(n.Settings().InternalAddress(ip), PathWatch, ask, &say, hold+n.Heartbeats(0.8))
 		if err != nil {
 			fails++
-			hold = n.heartbeat(1)
+			hold = n.Heartbeats(1)
 			t.loop.Call(func() {
 				delete(t.frontCounts, ip)
 				if fails >= 2 {
-					t.unresponsiveUntil[ip] = n.steady() + n.heartbeat(4)
+					t.unresponsiveUntil[ip] = n.Now() + n.Heartbeats(4)
 					t.pickWatchTargets()
 				}
 			})
 			// A hut that starts together with this node is there in a moment.
-			time.Sleep(time.Duration(float64(min(n.heartbeat(0.02)<<min(fails, 4), n.heartbeat(0.25))) * (0.5 + rand.Float64())))
+			time.Sleep(time.Duration(float64(min(n.Heartbeats(0.02)<<min(fails, 4), n.Heartbeats(0.25))) * (0.5 + rand.Float64())))
 			if fails > 2 {
 				t.discoverControlNodes()
 			}
@@ -350,7 +350,7 @@
 		fails = 0
 		var d *endpoints.Delta
 		if say.Delta != nil {
-			if d, err = UnpackTableDelta(say.Delta, n.maxMessage()); err != nil {
+			if d, err = UnpackTableDelta(say.Delta, n.MaxMessageBytes()); err != nil {
 				events.Log(events.MessageRejected, "from", ip, "path", PathWatch, "err", err)
 				d = nil
 			}
@@ -358,7 +358,7 @@
 		t.loop.Call(func() { t.onWatchResponse(ip, ask, say, d) })
 		if ask.Hello {
 			if !t.locatedControl.Load() {
-				time.Sleep(n.heartbeat(0.1))
+				time.Sleep(n.Heartbeats(0.1))
 			}
 			continue
 		}
@@ -366,17 +366,17 @@
 		late := func() bool { return t.progress.Load().version < say.Version }
 		if !first && (behind() || late()) {
 			// The hut watched first brings it cheaper, if it is there.
-			time.Sleep(n.heartbeat(0.05))
+			time.Sleep(n.Heartbeats(0.05))
 		}
 		brief = !behind()
 		// The others are asked for news only: they may hold the call for longer.
-		if hold = n.heartbeat(1); !first {
-			hold = n.longHold()
+		if hold = n.Heartbeats(1); !first {
+			hold = n.LongPollTimeout()
 		}
 		for i := 0; late() && i < 20; i++ {
 			t.fetchConfiguration(ip)
 			if late() {
-				time.Sleep(n.heartbeat(0.02))
+				time.Sleep(n.Heartbeats(0.02))
 			}
 		}
 	}
@@ -385,14 +385,14 @@
 // rosterDue tells whether it is time to ask for other fronts.
 func (t *FrontServer) rosterDue() bool {
 	last := time.Duration(t.rosterAskedAt.Load())
-	return last == 0 || t.host.steady()-last > t.host.heartbeat(5)
+	return last == 0 || t.host.Now()-last > t.host.Heartbeats(5)
 }
 
 // discoverControlNodes looks for huts in the view when those known don't answer.
 func (t *FrontServer) discoverControlNodes() {
 	var found []string
-	t.host.view.Call(func() { found = t.host.way.ControlIPs() })
-	found = append(found, t.host.set().SeedIPs()...)
+	t.host.ViewLoop.Call(func() { found = t.host.View.ControlIPs() })
+	found = append(found, t.host.Settings().SeedIPs()...)
 	t.loop.Call(func() {
 		for _, ip := range found {
 			if len(t.controlNodes) < 12 && !slices.ContainsFunc(t.controlNodes, func(h ControlNode) bool { return h.IP == ip }) {
@@ -410,23 +410,23 @@
 		t.locatedControl.Store(true)
 		t.pickWatchTargets()
 		for _, h := range say.Huts {
-			t.host.view.Submit(func() { t.host.way.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
+			t.host.ViewLoop.Submit(func() { t.host.View.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
 		}
 	}
 	if say.Roster != nil {
-		t.rosterAskedAt.Store(int64(t.host.steady()))
+		t.rosterAskedAt.Store(int64(t.host.Now()))
 		if t.relays != nil {
-			t.relays.Set(say.Roster, t.host.set().NodeName)
+			t.relays.Set(say.Roster, t.host.Settings().NodeName)
 		}
 	}
 	if len(say.Dark) > 0 && t.options.Hearsay {
-		t.endpoints.Tell(say.Dark, time.Now().Add(t.host.hearsayLasts()))
+		t.endpoints.Tell(say.Dark, time.Now().Add(t.host.UnreachableTTL()))
 	}
 	if len(t.watchTargets) > 0 && t.watchTargets[0] == ip {
 		t.unreachableRevision.Store(say.Heard)
 	}
 	if !say.Lone {
-		t.majorityHeardAt.Store(int64(t.host.steady()))
+		t.majorityHeardAt.Store(int64(t.host.Now()))
 	}
 	if say.Huts != nil && say.Slot >= t.progress.Load().slot {
 		t.setCacheNodes(say.Larders)
@@ -471,7 +471,7 @@
 	t.table = table
 	t.updateProgress(func(h *progress) { h.stamp = table.Stamp })
 	t.endpoints.SetTable(table)
-	t.layouts.Listed(table, t.host.steady())
+	t.layouts.Listed(table, t.host.Now())
 	t.applyTrafficSplits()
 	t.advanceLayouts()
 	t.publish()
@@ -496,7 +496,7 @@
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.host.call.Do(t.host.set().InternalAddress(ip), "POST", PathVersion, nil, Encode("version", ask), config.Milliseconds(t.host.set().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(ip), "POST", PathVersion, nil, Encode("version", ask), config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
@@ -522,7 +522,7 @@
 
 // unpackConfiguration reads a packed configuration.
 func (t *FrontServer) unpackConfiguration(body []byte) (*config.Configuration, error) {
-	raw, err := GzipUnpack(body, t.host.maxMessage())
+	raw, err := GzipUnpack(body, t.host.MaxMessageBytes())
 	if err != nil {
 		return nil, err
 	}
@@ -540,7 +540,7 @@
 	m := routing.Compile(c, t.defaultLimits)
 	t.routeTables[v] = m
 	age := time.Duration(say.AgeMs)*time.Millisecond + on
-	if t.layouts.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.host.steady()) {
+	if t.layouts.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.host.Now()) {
 		t.publish()
 	} else {
 		events.Log(events.LayoutPending, "version", v, "current", t.layouts.Current.Version)
@@ -551,7 +551,7 @@
 // advanceLayouts moves the rollout on; it runs on the desk.
 func (t *FrontServer) advanceLayouts() {
 	old := t.layouts.Current.Version
-	switched, ready := t.layouts.Tick(t.host.steady())
+	switched, ready := t.layouts.Tick(t.host.Now())
 	freed := t.layouts.TakeFreed()
 	for _, f := range freed {
 		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
@@ -586,7 +586,7 @@
 		return
 	}
 	t.frontend.Set(s)
-	if !t.host.leaving.Load() && t.ready.CompareAndSwap(false, true) {
+	if !t.host.Draining.Load() && t.ready.CompareAndSwap(false, true) {
 		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Searchers))
 	}
 }
@@ -594,8 +594,8 @@
 // serveClients starts the clients' listener. Until the node has a configuration and
 // a table, requests wait at its head.
 func (t *FrontServer) serveClients() {
-	lis := t.host.listener(t.defaultLimits.Idle)
-	lis.MaxHeaderBytes = t.host.maxMessage() / 16
+	lis := t.host.ServerOptions(t.defaultLimits.Idle)
+	lis.MaxHeaderBytes = t.host.MaxMessageBytes() / 16
 	lis.Tracker = &t.gate
 	lis.Timeouts = func() (time.Duration, time.Duration) {
 		if s := t.frontend.Current(); s != nil {
@@ -604,7 +604,7 @@
 		return t.defaultLimits.HeaderTimeout, t.defaultLimits.Idle
 	}
 	go func() {
-		ln, ok := transport.Listen(t.host.set().ListenAddresses.FrontAddress, t.host.userTimeout(), t.host.heartbeat(0.1), t.host.stop)
+		ln, ok := transport.Listen(t.host.Settings().ListenAddresses.FrontAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
 		if !ok {
 			return
 		}
@@ -614,13 +614,13 @@
 }
 
 func (t *FrontServer) serveReadiness() {
-	ln, ok := transport.Listen(t.host.set().ListenAddresses.ReadinessAddress, t.host.userTimeout(), t.host.heartbeat(0.1), t.host.stop)
+	ln, ok := transport.Listen(t.host.Settings().ListenAddresses.ReadinessAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
 	if !ok {
 		return
 	}
-	transport.Serve(ln, t.host.listener(t.host.heartbeat(8)), func(_ context.Context, c *app.RequestContext) {
+	transport.Serve(ln, t.host.ServerOptions(t.host.Heartbeats(8)), func(_ context.Context, c *app.RequestContext) {
 		status := 503
-		if t.ready.Load() && !t.host.leaving.Load() {
+		if t.ready.Load() && !t.host.Draining.Load() {
 			status = 200
 		}
 		transport.WriteJSON(c, status, map[string]bool{"Ready": status == 200})
@@ -630,16 +630,16 @@
 // tickLoop ticks often while a cut waits, seldom otherwise.
 func (t *FrontServer) tickLoop() {
 	for {
-		wait := t.host.heartbeat(0.4)
+		wait := t.host.Heartbeats(0.4)
 		t.loop.Call(func() {
 			t.advanceLayouts()
 			if t.layouts.Next != nil {
-				wait = config.Milliseconds(t.host.set().Bounds.ConfigEffectMs, 0.02)
+				wait = config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.02)
 			}
 		})
 		t.endpoints.Sweep(time.Now())
 		select {
-		case <-t.host.stop:
+		case <-t.host.Stopping:
 			return
 		case <-time.After(wait):
 		}
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -42,7 +42,7 @@
 
 // handleWatch waits for news that the asker lacks, at most for a heartbeat.
 func (h *ControlServer) handleWatch(m WatchRequest) WatchResponse {
-	hold := max(h.host.heartbeat(0.2), min(h.host.longHold(), time.Duration(m.HoldMs)*time.Millisecond))
+	hold := max(h.host.Heartbeats(0.2), min(h.host.LongPollTimeout(), time.Duration(m.HoldMs)*time.Millisecond))
 	until := time.NewTimer(hold)
 	defer until.Stop()
 	for late := false; ; {
@@ -50,7 +50,7 @@
 		var changed chan struct{}
 		news := false
 		h.loop.Call(func() {
-			h.onWatch(m, h.host.steady()+hold)
+			h.onWatch(m, h.host.Now()+hold)
 			say, news = h.watchResponse(m)
 			changed = h.changed
 		})
@@ -60,20 +60,20 @@
 		if news && m.Brief && !late {
 			// Whoever is watched first brings it sooner; what follows goes along.
 			select {
-			case <-time.After(h.host.heartbeat(0.1)):
-			case <-h.host.stop:
+			case <-time.After(h.host.Heartbeats(0.1)):
+			case <-h.host.Stopping:
 			}
 			late = true
 			continue
 		}
-		if news || late || h.host.leaving.Load() {
+		if news || late || h.host.Draining.Load() {
 			return say
 		}
 		select {
 		case <-changed:
 		case <-until.C:
 			late = true
-		case <-h.host.stop:
+		case <-h.host.Stopping:
 			return say
 		}
 	}
@@ -81,14 +81,14 @@
 
 // onWatch notes a node that watches; it runs on the desk.
 func (h *ControlServer) onWatch(m WatchRequest, until time.Duration) {
-	h.fronts[m.Name] = frontState{h.host.steady(), until + h.host.heartbeat(1), m.Slot, m.IP, m.Zone, m.Ready, m.Out, m.First, m.Larder, m.Rolled}
+	h.fronts[m.Name] = frontState{h.host.Now(), until + h.host.Heartbeats(1), m.Slot, m.IP, m.Zone, m.Ready, m.Out, m.First, m.Larder, m.Rolled}
 }
 
 // watchResponse tells a watcher what it lacks; it runs on the desk.
 func (h *ControlServer) watchResponse(m WatchRequest) (say WatchResponse, news bool) {
-	now := h.host.steady()
+	now := h.host.Now()
 	s := h.acceptor.State
-	say = WatchResponse{Zone: h.host.set().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.PurgeFloor()}
+	say = WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.PurgeFloor()}
 	say.Around, say.Here = h.frontsAround(m.Zone)
 	say.Lone = h.lacksMajority(now)
 	if m.Roster || m.Hello || s.Slot > m.Slot {
@@ -108,7 +108,7 @@
 		say.Purges = s.PurgesAfter(m.Purge)
 	}
 	if say.Heard = h.unreachable.revision; m.First && !m.Hello && m.Heard != say.Heard {
-		say.Dark = h.unreachable.current(now, h.host.heartbeat(2))
+		say.Dark = h.unreachable.current(now, h.host.Heartbeats(2))
 		news = news || len(say.Dark) > 0
 	}
 	if h.table != nil {
@@ -124,15 +124,15 @@
 }
 
 func (h *ControlServer) zoneOf(ip string) string {
-	if ip == h.host.set().IpAddress {
-		return h.host.set().Zone
+	if ip == h.host.Settings().IpAddress {
+		return h.host.Settings().Zone
 	}
 	return h.peers[ip].zone
 }
 
 // frontRoster lists the fronts that watch this hut first; it runs on the desk.
 func (h *ControlServer) frontRoster() FrontRoster {
-	now := h.host.steady()
+	now := h.host.Now()
 	r := FrontRoster{}
 	for name, f := range h.fronts {
 		if f.primary && now < f.overdueAt {
@@ -152,7 +152,7 @@
 // fetchRoster brings the roll of another hut.
 func (h *ControlServer) fetchRoster(ip string) {
 	var r FrontRoster
-	err := h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathFrontRoster, struct{}{}, &r, h.host.heartbeat(0.8))
+	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathFrontRoster, struct{}{}, &r, h.host.Heartbeats(0.8))
 	h.loop.Submit(func() {
 		if err != nil {
 			r = h.peerRosters[ip].FrontRoster
@@ -168,7 +168,7 @@
 func (h *ControlServer) roster(now time.Duration, but string) []relay.Front {
 	all := h.frontRoster().Fronts
 	for ip, r := range h.peerRosters {
-		if now-h.peers[ip].heardAt < config.Milliseconds(h.host.set().Bounds.InTouchMs, 1) {
+		if now-h.peers[ip].heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
 			all = append(all, r.Fronts...)
 		}
 	}
@@ -188,7 +188,7 @@
 
 // frontsMissEndpoints tells whether fronts heard lately miss searchers; it runs on the desk.
 func (h *ControlServer) frontsMissEndpoints() bool {
-	now := h.host.steady()
+	now := h.host.Now()
 	for _, f := range h.fronts {
 		if f.silentEndpoints > 0 && now < f.overdueAt {
 			return true
@@ -205,8 +205,8 @@
 // in its life before: after a loss of everything the fronts must not think
 // that each of them is alone. It runs on the desk.
 func (h *ControlServer) countFronts(now time.Duration) int {
-	window := config.Seconds(h.host.set().Bounds.RetryWindowS, 1)
-	if h.frontsCountedAt > 0 && now-h.frontsCountedAt < h.host.heartbeat(0.1) && len(h.fronts) > alwaysRecount {
+	window := config.Seconds(h.host.Settings().Bounds.RetryWindowS, 1)
+	if h.frontsCountedAt > 0 && now-h.frontsCountedAt < h.host.Heartbeats(0.1) && len(h.fronts) > alwaysRecount {
 		// Many ask at once, and each would count them all.
 		return h.frontCount
 	}
@@ -247,7 +247,7 @@
 
 // frontsAround counts the known fronts in a zone and in its region; it runs on the desk.
 func (h *ControlServer) frontsAround(zone string) (region, here int) {
-	zones := h.host.set().Zones
+	zones := h.host.Settings().Zones
 	for _, k := range h.knownFronts {
 		if zones[k.zone] == zones[zone] {
 			region++
@@ -265,7 +265,7 @@
 	for time.Now().Before(end) {
 		missing := false
 		h.loop.Call(func() {
-			now := h.host.steady()
+			now := h.host.Now()
 			for _, f := range h.fronts {
 				if f.slot < slot && now < f.overdueAt {
 					missing = true
@@ -303,6 +303,6 @@
 			h.packedVersions[m.Version] = p
 		}
 	}
-	p.response.Slot, p.response.Version, p.response.AgeMs = h.acceptor.State.Slot, h.acceptor.State.Version, (h.host.steady() - h.versionLearnedAt).Milliseconds()
+	p.response.Slot, p.response.Version, p.response.AgeMs = h.acceptor.State.Slot, h.acceptor.State.Version, (h.host.Now() - h.versionLearnedAt).Milliseconds()
 	return p.response, p.body
 }
