--- a/cmd/swiftswitch/main.go
+++ b/cmd/swiftswitch/main.go
@@ -13,11 +13,13 @@
 	"strings"
 	"time"
 
-	"github.com/spf13/cobra"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/lodge"
 	"swiftswitch/internal/transport"
+
+	"github.com/spf13/cobra"
 )
 
 // Exit codes.
@@ -51,7 +53,7 @@
 }
 
 func runCmd() *cobra.Command {
-	opt := lodge.DefaultOptions()
+	opt := host.DefaultOptions()
 	var settings, dir, profile string
 	var debug bool
 	c := &cobra.Command{
@@ -59,8 +61,8 @@
 		Long: "Run a node as its settings file says. The argument names the role. hut and trail follow from the settings: a node with a\ndisk keeps state, one that serves front takes clients. larder makes a node with a disk keep\ncopies of objects instead of state.\nSIGHUP reads the settings again; SIGTERM leaves in order within GraceS.",
 		RunE: func(_ *cobra.Command, a []string) error {
 			if len(a) > 0 {
-				if !slices.Contains(lodge.Roles, a[0]) {
-					return exit{exitUsage, fmt.Errorf("there is no role %q; roles: %s", a[0], strings.Join(lodge.Roles, ", "))}
+				if !slices.Contains(host.Roles, a[0]) {
+					return exit{exitUsage, fmt.Errorf("there is no role %q; roles: %s", a[0], strings.Join(host.Roles, ", "))}
 				}
 				opt.Role = a[0]
 			}
--- a/examples/hollow/main.go
+++ b/examples/hollow/main.go
@@ -21,6 +21,7 @@
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/endpoints"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/lodge"
 )
 
@@ -129,7 +130,7 @@
 	var h *lodge.Hollow
 	measure("joining", huts, time.Second, func() {
 		begun := time.Now()
-		if h, err = lodge.StartHollow(s, *fronts, lodge.DefaultOptions()); err != nil {
+		if h, err = lodge.StartHollow(s, *fronts, host.DefaultOptions()); err != nil {
 			log.Fatal(err)
 		}
 		wait("all fronts ready", begun, func() bool { ready, _ := h.Ready(0, endpoints.Stamp{}); return ready == *fronts })
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -5,11 +5,12 @@
 	"slices"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // What huts tell each other about ballots and decided state. Bodies travel as
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -45,8 +45,24 @@
 	}
 }
 
-// route finds the route of an object, if there is any yet.
-func (t *FrontServer) route(host, target string) *routing.Route {
+// ListedAsCacheNode tells whether the agreed list of cache nodes holds this one.
+func (t *FrontServer) ListedAsCacheNode() bool {
+	l := t.cacheNodes.Load()
+	return l != nil && l.member
+}
+
+// Service is a service of the configuration in force, nil where there is none;
+// known is false while there is no configuration.
+func (t *FrontServer) Service(name string) (service *config.Service, known bool) {
+	snapshot := t.frontend.Current()
+	if snapshot == nil {
+		return nil, false
+	}
+	return snapshot.Map.Services[name], true
+}
+
+// Route finds the route of an object, if there is any yet.
+func (t *FrontServer) Route(host, target string) *routing.Route {
 	snap := t.frontend.Current()
 	if snap == nil {
 		return nil
@@ -54,12 +70,12 @@
 	return snap.Map.Match(host, target)
 }
 
-// quotaShare is this node's part of each service's ceiling; ok is false while it
+// QuotaShare is this node's part of each service's ceiling; ok is false while it
 // must not fetch. A larder that came onto the list waits until the others have
 // heard of it and given up their part; one that no hut in touch with a
 // majority answers stops before the huts count it as gone and the others take
 // its part. Fronts fetch only where there is no larder.
-func (t *FrontServer) quotaShare() (part float64, ok bool) {
+func (t *FrontServer) QuotaShare() (part float64, ok bool) {
 	l := t.cacheNodes.Load()
 	if l == nil {
 		return 0, false
@@ -152,7 +168,7 @@
 
 // fetchSelf fetches where there is no larder.
 func (t *FrontServer) fetchSelf(w frontend.Want) frontend.Brought {
-	r := t.route(w.Host, w.Target)
+	r := t.Route(w.Host, w.Target)
 	if r == nil {
 		return frontend.Brought{Status: 503}
 	}
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -10,7 +10,6 @@
 	"sync/atomic"
 	"time"
 
-	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/rollout"
@@ -57,21 +56,6 @@
 	return now, now - time.Duration(t.majorityHeardAt.Load())
 }
 
-// MajorityTimeout is how long a node may hear of no majority before it keeps to settled versions.
-func (n *Node) MajorityTimeout() time.Duration {
-	b := n.Settings().Bounds
-	if b.RollbackMs > 0 {
-		return config.Milliseconds(b.RollbackMs, 0.4)
-	}
-	return config.Milliseconds(b.InTouchMs, 0.4)
-}
-
-// RolloutExposure is what the settings allow a bad version.
-func (n *Node) RolloutExposure() rollout.Exposure {
-	b := n.Settings().Bounds
-	return rollout.Exposure{Share: b.ExposureShare, Slack: b.ExposureSlack}
-}
-
 // onRollouts takes what a hut tells of the orders; it runs on the desk.
 func (t *FrontServer) onRollouts(say WatchResponse) {
 	if say.RolledTo <= t.progress.Load().rolloutSlot {
@@ -148,8 +132,8 @@
 	return n
 }
 
-// pickEndpoint picks a searcher for a request of this node's own, as its lane allows.
-func (t *FrontServer) pickEndpoint(service string, aim time.Duration) (*upstream.Peer, time.Time) {
+// PickEndpoint picks a searcher for a request of this node's own, as its lane allows.
+func (t *FrontServer) PickEndpoint(service string, aim time.Duration) (*upstream.Peer, time.Time) {
 	var l *rollout.Lane
 	if s := t.frontend.Current(); s != nil {
 		l = s.Lanes[service]
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/config"
 	"swiftswitch/internal/events"
 )
 
@@ -102,11 +101,6 @@
 	})
 }
 
-// UnreachableTTL is how long hearsay keeps requests away from a searcher.
-func (n *Node) UnreachableTTL() time.Duration {
-	return config.Milliseconds(n.Settings().Bounds.InTouchMs, 0.5)
-}
-
 // reportUnreachableLoop tells the hut watched first of searchers that did not answer.
 func (t *FrontServer) reportUnreachableLoop() {
 	for {
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -6,9 +6,11 @@
 	"slices"
 	"time"
 
-	"google.golang.org/protobuf/proto"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/host"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // Hollow is many fronts in one process: they join, watch, report and hold
@@ -19,7 +21,7 @@
 
 // StartHollow runs n fronts with settings like those given, each with a name
 // and an address of its own, from the given one on, and in one zone after the other.
-func StartHollow(like *config.Settings, n int, o Options) (*Hollow, error) {
+func StartHollow(like *config.Settings, n int, o host.Options) (*Hollow, error) {
 	var zones []string
 	for z := range like.Zones {
 		zones = append(zones, z)
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -9,24 +9,26 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/handoff"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/lease"
 	"swiftswitch/internal/membership"
 	"swiftswitch/internal/relay"
 	"swiftswitch/internal/rollout"
 	"swiftswitch/internal/storage"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // ControlServer is the part of a node with a disk. Its tables belong to one desk.
 type ControlServer struct {
-	host  *Node
+	host  *host.Host
 	store *storage.Store
 	loop  *commandloop.Loop
 
@@ -102,7 +104,7 @@
 // as they take no more than a message may.
 const maxPastBodies = 8
 
-func NewControlServer(n *Node) (*ControlServer, error) {
+func NewControlServer(n *host.Host) (*ControlServer, error) {
 	s := n.Settings()
 	slow, again := config.Milliseconds(s.Bounds.AcknowledgeMs, 0.1), config.Milliseconds(s.Bounds.AcknowledgeMs, 0.04)
 	cel, err := storage.Open(s.DataDirectory, slow, again)
@@ -140,7 +142,7 @@
 			events.Log(events.ClusterBootstrapped, "voters", strings.Join(ips, ","))
 		} else {
 			// What was promised under an identity in a store that was set aside may be forgotten.
-			id = "later-" + s.IpAddress + "-" + RandomID()
+			id = "later-" + s.IpAddress + "-" + host.RandomID()
 			events.Log(events.IdentityCreated, "id", id)
 		}
 		maps.Copy(records, stateRecords(st, -1, 0))
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -5,14 +5,18 @@
 	"sync"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/cache"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/frontend"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/routing"
 	"swiftswitch/internal/transport"
 	"swiftswitch/internal/upstream"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // CacheFetchRequest asks for an object, larderSay goes with the answer, in a header:
@@ -68,11 +72,33 @@
 	rejectAboveWait = 0.7
 )
 
+// Front is what a Fetcher needs of the front server that it belongs to.
+type Front interface {
+	// Route is the route of an object, nil where there is none yet.
+	Route(hostName, target string) *routing.Route
+	// Service is a service of the configuration in force, nil where there is
+	// none; known is false while there is no configuration.
+	Service(name string) (service *config.Service, known bool)
+	// QuotaShare is this node's part of each service's rate limit; ok is
+	// false while the node must not fetch.
+	QuotaShare() (part float64, ok bool)
+	// PickEndpoint picks a searcher for a request of the node's own and
+	// tells when to send it.
+	PickEndpoint(service string, target time.Duration) (*upstream.Peer, time.Time)
+	// ListedAsCacheNode tells whether the agreed list of cache nodes holds this one.
+	ListedAsCacheNode() bool
+	// ControlIPs are the control nodes that the front server knows.
+	ControlIPs() []string
+}
+
 // Fetcher fetches objects, within this node's part of each service's ceiling.
 // On a larder it also keeps the copies that the fronts share.
 type Fetcher struct {
-	host  *Node
-	front *FrontServer
+	host  *host.Host
+	front Front
+	// endpoints carries the attempts out, purges knows which objects are invalid.
+	endpoints *upstream.Range
+	purges    *frontend.Pantry
 
 	mu            sync.Mutex
 	objects       *cache.Shelf
@@ -84,8 +110,16 @@
 	name          string
 }
 
-func NewFetcher(n *Node, t *FrontServer, limit int) *Fetcher {
-	return &Fetcher{host: n, front: t, objects: cache.NewShelf(limit), queue: cache.NewStove(), limits: map[string]*ratelimit.Ceiling{}, wakeup: make(chan struct{}, 1), name: RandomID()}
+// NewFetcher makes the fetcher of a front or cache node; its objects may take
+// maxBytes. It starts with Run.
+func NewFetcher(h *host.Host, front Front, endpoints *upstream.Range, purges *frontend.Pantry, maxBytes int) *Fetcher {
+	return &Fetcher{
+		host: h, front: front, endpoints: endpoints, purges: purges, name: host.RandomID(),
+		objects: cache.NewShelf(maxBytes),
+		queue:   cache.NewStove(),
+		limits:  map[string]*ratelimit.Ceiling{},
+		wakeup:  make(chan struct{}, 1),
+	}
 }
 
 func (k *Fetcher) wake() {
@@ -112,15 +146,14 @@
 // quota is this node's part of what a service takes a second; below 0 where
 // the service has no ceiling.
 func (k *Fetcher) quota(service string) float64 {
-	snap := k.front.frontend.Current()
-	if snap == nil {
+	sv, known := k.front.Service(service)
+	if !known {
 		return 0
 	}
-	sv := snap.Map.Services[service]
 	if sv == nil || sv.RequestsPerS <= 0 {
 		return -1
 	}
-	parts, ok := k.front.quotaShare()
+	parts, ok := k.front.QuotaShare()
 	if !ok {
 		return 0
 	}
@@ -174,7 +207,7 @@
 				return max(wait, time.Millisecond)
 			}
 		}
-		f := k.queue.Next(service, k.front.cacheHandler.Known(), now)
+		f := k.queue.Next(service, k.purges.Known(), now)
 		if f == nil {
 			break
 		}
@@ -200,11 +233,11 @@
 		etag = old.ETag
 	}
 	aim := k.host.Heartbeats(0.5)
-	if r := k.front.route(f.Host, f.Target); r != nil {
+	if r := k.front.Route(f.Host, f.Target); r != nil {
 		aim = r.Target
 		until = f.Began + r.Timeout
 	}
-	peer, start := k.front.pickEndpoint(f.Service, aim)
+	peer, start := k.front.PickEndpoint(f.Service, aim)
 	if peer == nil {
 		k.onFailed(f, 503, "no searcher")
 		return
@@ -212,7 +245,7 @@
 	left := until - k.host.Now()
 	ask := upstream.Read(id, f.Host, f.Target, etag)
 	ask.Aim = aim
-	o := k.front.endpoints.Try(peer, ask, start, time.Now().Add(left))
+	o := k.endpoints.Try(peer, ask, start, time.Now().Add(left))
 	defer o.Release()
 	switch {
 	case o.Verdict == upstream.Answered && o.Status == 304 && old != nil:
@@ -257,13 +290,13 @@
 	defer k.mu.Unlock()
 	now := k.host.Now()
 	if c != nil {
-		if k.front.cacheHandler.Killed(c) && f.Tries < 4 && f.Wait(now) {
+		if k.purges.Killed(c) && f.Tries < 4 && f.Wait(now) {
 			// A purge came while it was fetched: what is here may be what it ended.
 			k.queue.Again(f)
 			k.wake()
 			return
 		}
-		if r := k.front.route(f.Host, f.Target); r != nil && r.Cached && r.Lifetime > 0 {
+		if r := k.front.Route(f.Host, f.Target); r != nil && r.Cached && r.Lifetime > 0 {
 			k.objects.Put(c)
 		}
 		f.Copy = c
@@ -288,7 +321,7 @@
 // most for wait, and then tells that it is under way.
 func (k *Fetcher) Get(a CacheFetchRequest, lifetime time.Duration, sends func(string) bool) (CacheFetchResponse, []byte) {
 	until := time.Now().Add(time.Duration(min(a.WaitMs, a.LeftMs)) * time.Millisecond)
-	for k.front.cacheHandler.Known() < a.Purge && time.Now().Before(until) {
+	for k.purges.Known() < a.Purge && time.Now().Before(until) {
 		// The asker has heard of a purge that this node has not: it is on its way.
 		time.Sleep(k.host.Heartbeats(0.01))
 	}
@@ -297,7 +330,7 @@
 		k.mu.Lock()
 		now := k.host.Now()
 		c := k.objects.Get(key)
-		if known, ok := k.front.cacheHandler.Vouch(c, lifetime, sends); ok {
+		if known, ok := k.purges.Vouch(c, lifetime, sends); ok {
 			k.mu.Unlock()
 			k.refreshAhead(c, lifetime, now)
 			return objectResponse(c, known, now)
@@ -324,7 +357,7 @@
 		}
 		switch {
 		case f.Copy != nil:
-			if known, ok := k.front.cacheHandler.Vouch(f.Copy, lifetime, sends); ok {
+			if known, ok := k.purges.Vouch(f.Copy, lifetime, sends); ok {
 				return objectResponse(f.Copy, known, k.host.Now())
 			} else if lifetime <= 0 {
 				return objectResponse(f.Copy, f.Copy.Known, k.host.Now())
@@ -339,7 +372,7 @@
 
 // expectedWait is about how long it takes until a fetch has ended; it runs under the lock.
 func (k *Fetcher) expectedWait(f *cache.Flight, now time.Duration) time.Duration {
-	typical, _ := k.front.endpoints.Latency(f.Service)
+	typical, _ := k.endpoints.Latency(f.Service)
 	if f.Running {
 		return max(0, f.Began+typical-now)
 	}
@@ -374,7 +407,7 @@
 	}
 	s := CacheFetchResponse{Status: 503}
 	var body []byte
-	if r := k.front.route(a.Host, a.Target); r != nil && a.LeftMs > 0 && r.Cached && r.Sends(a.Service) {
+	if r := k.front.Route(a.Host, a.Target); r != nil && a.LeftMs > 0 && r.Cached && r.Sends(a.Service) {
 		s, body = k.Get(a, r.Lifetime, r.Sends)
 	}
 	c.SetStatusCode(200)
@@ -391,7 +424,7 @@
 			return
 		case <-time.After(k.host.Heartbeats(0.5)):
 		}
-		if l := k.front.cacheNodes.Load(); l != nil && l.member || k.host.Draining.Load() {
+		if k.front.ListedAsCacheNode() || k.host.Draining.Load() {
 			continue
 		}
 		self := consensus.Larder{Name: k.host.Settings().NodeName, IP: k.host.Settings().IpAddress, Zone: k.host.Settings().Zone}
--- a/internal/lodge/larder_test.go
+++ b/internal/lodge/larder_test.go
@@ -42,7 +42,7 @@
 	})
 	w.eventually("both larders may fetch", func() bool {
 		for _, n := range []string{"21", "22"} {
-			if part, ok := w.nodes[n].front.quotaShare(); !ok || part != 0.5 {
+			if part, ok := w.nodes[n].front.QuotaShare(); !ok || part != 0.5 {
 				return false
 			}
 		}
@@ -121,14 +121,14 @@
 		}
 	}
 	w.eventually("the other has the whole ceiling", func() bool {
-		part, ok := w.nodes["22"].front.quotaShare()
+		part, ok := w.nodes["22"].front.QuotaShare()
 		return ok && part == 1
 	})
 	// It comes back, and gets its part once the other has given it up.
 	w.run(21, false, 1, 2, 3)
 	w.eventually("both have their part", func() bool {
-		a, ok1 := w.nodes["21"].front.quotaShare()
-		b, ok2 := w.nodes["22"].front.quotaShare()
+		a, ok1 := w.nodes["21"].front.QuotaShare()
+		b, ok2 := w.nodes["22"].front.QuotaShare()
 		if ok1 && a+b > 1 {
 			t.Fatalf("parts of %v and %v", a, b)
 		}
@@ -138,7 +138,7 @@
 	w.stop("21")
 	w.stop("22")
 	w.eventually("fronts fetch themselves", func() bool { return is(11, "/c/alone", "/c/alone version 5") })
-	if part, ok := w.nodes["11"].front.quotaShare(); !ok || part > frontFetchShare/2 {
+	if part, ok := w.nodes["11"].front.QuotaShare(); !ok || part > frontFetchShare/2 {
 		t.Fatalf("a front has a part of %v", part)
 	}
 	// An answer that is broken or carries no stamp is not kept.
--- a/internal/lodge/lease_test.go
+++ b/internal/lodge/lease_test.go
@@ -5,9 +5,10 @@
 	"testing"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // onPort lets the nodes make their calls to another port; a part of the town
@@ -16,7 +17,7 @@
 	for _, name := range names {
 		s := *w.nodes[name].Settings()
 		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
-		w.nodes[name].settings.Store(&s)
+		w.nodes[name].SetSettings(&s)
 	}
 }
 
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -59,7 +59,7 @@
 		return
 	}
 	s.DataDirectory = old.DataDirectory
-	n.settings.Store(s)
+	n.SetSettings(s)
 	events.Log(events.SettingsReloaded)
 }
 
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -7,62 +7,36 @@
 	"net"
 	"os"
 	"slices"
-	"sync/atomic"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
-	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/peersampling"
-	"swiftswitch/internal/relay"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// Node is what every machine runs; hut and trail are added by role.
+// Node is what every machine runs. Which servers it has follows from its
+// settings and its role.
 type Node struct {
-	settings     atomic.Pointer[config.Settings]
+	*host.Host
 	settingsPath string
-	startedAt    time.Time
-	Client       *transport.Client
-	Options      Options
-	Stopping     chan struct{}
-	Draining     atomic.Bool
 	listeners    []net.Listener
 
-	ViewLoop *commandloop.Loop
-	View     *peersampling.View
-	// Owned by the view's desk as well.
+	// pauses and unresponsive are owned by ViewLoop, like the view.
 	pauses       pauseDetector
 	unresponsive unresponsivePeers
 
+	// control is nil on a node without a disk, front on one that neither
+	// serves clients nor caches.
 	control *ControlServer
 	front   *FrontServer
-	// fetcher: the node keeps copies for the fronts.
-	fetcher *Fetcher
-}
-
-func (n *Node) Settings() *config.Settings { return n.settings.Load() }
-
-// Now is the node's steady clock.
-func (n *Node) Now() time.Duration { return time.Since(n.startedAt) }
-
-func (n *Node) TCPUserTimeout() time.Duration {
-	return config.Milliseconds(n.Settings().Bounds.InTouchMs, 0.5)
-}
-
-// LongPollTimeout is how long a call for news may be held at most: one that was lost
-// ends before a machine counts as in touch again.
-func (n *Node) LongPollTimeout() time.Duration {
-	return config.Milliseconds(n.Settings().Bounds.InTouchMs, 0.75)
-}
-
-func (n *Node) Heartbeats(ratio float64) time.Duration {
-	return config.Milliseconds(n.Settings().HeartbeatIntervalMs, ratio)
 }
 
 // Run is the life of a node; it returns the process's exit code.
-func Run(path, dir string, options Options) int {
+func Run(path, dir string, options host.Options) int {
 	s, err := config.LoadSettings(path)
 	if err != nil {
 		events.Log(events.SettingsInvalid, "err", err)
@@ -85,26 +59,23 @@
 	return 0
 }
 
-// Open makes a node of its settings.
-func Open(s *config.Settings, path string, options Options) (*Node, error) {
-	n := &Node{settingsPath: path, startedAt: time.Now(), Stopping: make(chan struct{}), Options: options}
-	n.settings.Store(s)
-	n.Client = transport.NewClient(16, config.Milliseconds(s.Bounds.InTouchMs, 1), n.TCPUserTimeout(), n.MaxMessageBytes())
-	n.ViewLoop = commandloop.New()
-	n.unresponsive = unresponsivePeers{}
+// Open makes a node of its settings; Start runs it.
+func Open(s *config.Settings, path string, options host.Options) (*Node, error) {
+	n := &Node{Host: host.New(s, options), settingsPath: path, unresponsive: unresponsivePeers{}}
 	n.pauses.Threshold = time.Duration(float64(callerTimeout(s.Bounds.AcknowledgeMs, 0)) * pauseRatio)
-	n.View = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
+	caches := options.Role == host.RoleCache
 	var err error
-	keeps := options.Role == RoleCache
-	if s.HasDisk() && !keeps {
-		if n.control, err = NewControlServer(n); err != nil {
+	if s.HasDisk() && !caches {
+		if n.control, err = NewControlServer(n.Host); err != nil {
 			return nil, err
 		}
+		n.AddControlSource(n.control.VoterIPs)
 	}
-	if slices.Contains(s.Serves, "front") || keeps {
-		if n.front, err = NewFrontServer(n, options); err != nil {
+	if slices.Contains(s.Serves, "front") || caches {
+		if n.front, err = NewFrontServer(n.Host, options); err != nil {
 			return nil, err
 		}
+		n.AddControlSource(n.front.ControlIPs)
 	}
 	return n, nil
 }
@@ -126,30 +97,6 @@
 	return true
 }
 
-func RandomID() string {
-	const letters = "abcdefghijkmnpqrstuvwxyz23456789"
-	b := make([]byte, 12)
-	for i := range b {
-		b[i] = letters[rand.IntN(len(letters))]
-	}
-	return string(b)
-}
-
-func (n *Node) MaxMessageBytes() int {
-	mb := n.Settings().Limits.MemoryMb
-	if mb <= 0 {
-		mb = 256
-	}
-	return int(mb * (1 << 20) / 32)
-}
-
-func (n *Node) ServerOptions(idle time.Duration) transport.ServerOptions {
-	return transport.ServerOptions{
-		MaxHeaderBytes: 64 << 10, MaxBodyBytes: n.MaxMessageBytes(), ReadTimeout: config.Milliseconds(n.Settings().Bounds.InTouchMs, 2),
-		IdleTimeout: idle, TCPUserTimeout: n.TCPUserTimeout(),
-	}
-}
-
 // listen opens the port for other nodes and, where the role has it, control.
 func (n *Node) listen() bool {
 	s := n.Settings()
@@ -177,24 +124,6 @@
 	switch string(c.Request.URI().PathOriginal()) {
 	case PathShuffle:
 		n.handleShuffle(c)
-	case PathRelay:
-		var m relay.Ask
-		if !transport.ReadJSON(c, &m) {
-			return
-		}
-		if n.front == nil {
-			transport.WriteJSON(c, 404, map[string]string{"Error": "no front"})
-		} else if say, ok := n.front.frontend.Lend(m); ok {
-			transport.WriteJSON(c, 200, say)
-		} else {
-			transport.WriteJSON(c, 409, map[string]string{"Error": "another version is in force here"})
-		}
-	case PathCacheFetch:
-		if n.fetcher == nil {
-			transport.WriteJSON(c, 404, map[string]string{"Error": "no larder"})
-			return
-		}
-		n.fetcher.HandleFetch(c)
 	case PathStatus:
 		transport.WriteJSON(c, 200, n.Status())
 	case PathConfiguration, PathPurge:
@@ -204,7 +133,8 @@
 			n.handleOperator(ctx, c)
 			return
 		}
-		if n.control == nil || !n.control.HandleInternal(c) {
+		taken := n.control != nil && n.control.HandleInternal(c) || n.front != nil && n.front.HandleInternal(c)
+		if !taken {
 			transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
 		}
 	}
@@ -247,27 +177,6 @@
 	}
 }
 
-// ControlIPs lists the IPs of the nodes that may keep state, those known best first.
-func (n *Node) ControlIPs() []string {
-	var out []string
-	add := func(ips []string) {
-		for _, ip := range ips {
-			if ip != "" && !slices.Contains(out, ip) {
-				out = append(out, ip)
-			}
-		}
-	}
-	if n.control != nil {
-		add(n.control.VoterIPs())
-	}
-	if n.front != nil {
-		add(n.front.ControlIPs())
-	}
-	add(n.Settings().SeedIPs())
-	n.ViewLoop.Call(func() { add(n.View.ControlIPs()) })
-	return out
-}
-
 func (n *Node) handleShuffle(c *app.RequestContext) {
 	var m ShuffleMessage
 	if !transport.ReadJSON(c, &m) {
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -5,11 +5,12 @@
 	"strings"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // The operator's calls for the configuration.
--- a/internal/lodge/pack.go
+++ b/internal/lodge/pack.go
@@ -7,8 +7,9 @@
 	"io"
 	"math/bits"
 
-	"github.com/klauspost/compress/zstd"
 	"swiftswitch/internal/endpoints"
+
+	"github.com/klauspost/compress/zstd"
 )
 
 // GzipPack makes the packed form of what goes to many nodes alike.
--- a/internal/lodge/patience.go
+++ b/internal/lodge/patience.go
@@ -5,10 +5,11 @@
 	"strconv"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // An operator goes on to another node when one keeps silent, and may have sent
@@ -69,14 +70,6 @@
 	return time.Now().Add(timeLeft(own, string(c.Request.Header.Peek(headerTimeLeft))))
 }
 
-// WriteUnavailable answers that a call can't be settled here and now: the caller may
-// send it again soon, to any node.
-func (n *Node) WriteUnavailable(c *app.RequestContext, why string) {
-	in := config.Milliseconds(n.Settings().Bounds.AcknowledgeMs, 0.02)
-	c.Response.Header.Set("Retry-After", strconv.FormatFloat(in.Seconds(), 'f', 3, 64))
-	transport.WriteJSON(c, 503, map[string]string{"Error": why})
-}
-
 // pauseDetector notices that the node stood still (it was frozen, or got no processor
 // time): what it reads soon after may have waited in its sockets for as long.
 type pauseDetector struct {
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/host"
 )
 
 func TestPatienceIsARatioOfTheBound(t *testing.T) {
@@ -104,7 +105,7 @@
 
 // gateway is a front that only takes calls, and knows of huts 9 and 8.
 func (w *town) gateway() *Node {
-	node, err := Open(w.settings(11, false, 9, 8), "", DefaultOptions())
+	node, err := Open(w.settings(11, false, 9, 8), "", host.DefaultOptions())
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -208,7 +209,7 @@
 
 func TestOrderThatWaitedInAFrozenNode(t *testing.T) {
 	w, h := alone(t)
-	gap := h.host.pauses.Threshold
+	gap := w.nodes["1"].pauses.Threshold
 	frozen := make(chan struct{})
 	go h.host.ViewLoop.Call(func() { close(frozen); time.Sleep(3 * gap) })
 	<-frozen
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -3,11 +3,13 @@
 import (
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // purgeMost bounds how many purges one slot decides, purgeSize an order in bytes.
@@ -23,15 +25,6 @@
 	done  chan bool
 }
 
-// PurgeTime is how long a purge may take to be everywhere.
-func (n *Node) PurgeTime(ratio float64) time.Duration {
-	b := n.Settings().Bounds
-	if b.PurgeMs > 0 {
-		return config.Milliseconds(b.PurgeMs, ratio)
-	}
-	return config.Milliseconds(b.ConfigEffectMs, ratio)
-}
-
 // HandlePurge takes the operator's purge: agreed by a majority, then
 // acknowledged once the caches lately heard hold it, or soon after. A purge has
 // no name on the wire, so one that is sent again may purge again: copies are
@@ -46,7 +39,7 @@
 		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	w := &pendingPurge{purge: consensus.Purge{ID: RandomID(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
+	w := &pendingPurge{purge: consensus.Purge{ID: host.RandomID(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
 	select {
 	case h.purgeQueue <- w:
 	default:
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -5,12 +5,13 @@
 	"strings"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/rollout"
 	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // The hut's part of rollouts: orders and their phases are decided in the log;
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"swiftswitch/internal/config"
+	"swiftswitch/internal/host"
 )
 
 // searcher stands in for one searcher.
@@ -228,11 +229,11 @@
 
 func (w *town) run(n int, first bool, seeds ...int) *Node {
 	w.t.Helper()
-	opt := DefaultOptions()
+	opt := host.DefaultOptions()
 	// Orders get long terms, for slow machines, and are tried early in them.
 	opt.Rollout.TrialAt = 0.1
 	if n > 20 {
-		opt.Role = RoleCache
+		opt.Role = host.RoleCache
 	}
 	node, err := Open(w.settings(n, first, seeds...), "", opt)
 	if err != nil {
--- a/internal/lodge/start_test.go
+++ b/internal/lodge/start_test.go
@@ -11,13 +11,14 @@
 	"time"
 
 	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/storage"
 )
 
 // startHut opens the hut of node 1, without its loops.
 func startHut(t *testing.T, w *town, first bool) *ControlServer {
 	t.Helper()
-	n, err := Open(w.settings(1, first, 1, 2, 3), "", DefaultOptions())
+	n, err := Open(w.settings(1, first, 1, 2, 3), "", host.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -4,103 +4,35 @@
 	"cmp"
 	"context"
 	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"net"
 	"slices"
 	"sync/atomic"
 	"time"
 
-	"github.com/cloudwego/hertz/pkg/app"
-	"github.com/panjf2000/ants/v2"
 	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/endpoints"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/frontend"
+	"swiftswitch/internal/host"
 	"swiftswitch/internal/peersampling"
 	"swiftswitch/internal/ratelimit"
 	"swiftswitch/internal/relay"
-	"swiftswitch/internal/rollout"
 	"swiftswitch/internal/routing"
 	"swiftswitch/internal/scatter"
 	"swiftswitch/internal/shardmap"
 	"swiftswitch/internal/transport"
 	"swiftswitch/internal/upstream"
-)
-
-// Options are the project's defaults that an operator may change on the
-// command line. All but Slots are ratios.
-type Options struct {
-	// Role says what the node does beside what its settings tell: RoleLarder
-	// makes a node with a disk keep copies instead of state.
-	Role string
-	// Shelf, a part of MemoryMb, is what a front's own copies may take;
-	// LarderShelf what those of a larder may.
-	Shelf, LarderShelf float64
-	// Slots is R, how many searchers hold a slot of one shard at most.
-	Slots int
-	// SwitchWait, a part of ConfigEffectMs, is how long an old cut may serve on.
-	SwitchWait float64
-	// LeaseBeats is a slot's lease in heartbeats.
-	LeaseBeats float64
-	// HedgeAt, a part of the target, is when a straggler gets company.
-	HedgeAt float64
-	// Soft, a part of the target, is when a partial answer is weighed.
-	Soft float64
-	// Late is what a late answer is taken to be worth beside one in time.
-	Late float64
-	// BudgetKeep is the part of the retry budget that is used at most.
-	BudgetKeep float64
-	// FarPenalty, a part of the target, is what a searcher in another zone must be faster by.
-	FarPenalty float64
-	// Crowd, times its slots, is how much a searcher may have to do before requests of the highest priority are refused.
-	Crowd float64
-	// Saddle: shards without a searcher in this zone are gathered by a front in another.
-	Saddle bool
-	// Rollout says how new versions are tried and judged.
-	Rollout rollout.Options
-	// Hearsay: fronts tell each other, by way of huts, which searchers do not answer.
-	Hearsay bool
-}
 
-// RoleCache is the role of nodes that keep copies.
-const RoleCache = "larder"
-
-// Roles are the roles that there are; the others follow from the settings.
-var Roles = []string{"hut", "trail", RoleCache}
-
-// DefaultOptions are the defaults.
-func DefaultOptions() Options {
-	return Options{Shelf: 0.1, LarderShelf: 0.35, Slots: 6, SwitchWait: 0.4, LeaseBeats: 2, HedgeAt: 0.5, Soft: 0.89, Late: 0.35, BudgetKeep: 0.85, FarPenalty: 1, Crowd: 2, Saddle: true, Hearsay: true, Rollout: rollout.Defaults()}
-}
-
-// Check tells which option is out of its range, and what is allowed.
-func (o Options) Check() error {
-	if o.Slots < 1 {
-		return fmt.Errorf("--slots is %d: it must be at least 1", o.Slots)
-	}
-	for _, r := range []struct {
-		name           string
-		v, least, most float64
-	}{
-		{"shelf", o.Shelf, 0, 0.8}, {"larder-shelf", o.LarderShelf, 0, 0.8},
-		{"switch-wait", o.SwitchWait, 0, 0.8}, {"lease-beats", o.LeaseBeats, 0.1, 100},
-		{"hedge-at", o.HedgeAt, 0.01, 10}, {"soft", o.Soft, 0.01, 1}, {"late-worth", o.Late, 0, 1},
-		{"budget-keep", o.BudgetKeep, 0, 1}, {"far-penalty", o.FarPenalty, 0, 10}, {"crowd", o.Crowd, 0.1, 1000},
-	} {
-		// Written so that what is no number is out of range too.
-		if !(r.v >= r.least && r.v <= r.most) {
-			return fmt.Errorf("--%s is %v: it must be between %v and %v", r.name, r.v, r.least, r.most)
-		}
-	}
-	return o.Rollout.Check()
-}
+	"github.com/cloudwego/hertz/pkg/app"
+	"github.com/panjf2000/ants/v2"
+)
 
 // FrontServer is the part of a node that serves clients. Its tables belong to one desk.
 type FrontServer struct {
-	host    *Node
-	options Options
+	host    *host.Host
+	options host.Options
 	loop    *commandloop.Loop
 
 	endpoints   *upstream.Range
@@ -159,7 +91,7 @@
 	stamp                             endpoints.Stamp
 }
 
-func NewFrontServer(n *Node, opt Options) (*FrontServer, error) {
+func NewFrontServer(n *host.Host, opt host.Options) (*FrontServer, error) {
 	s := n.Settings()
 	b := s.Bounds
 	pool, err := ants.NewPool(int(max(256, s.Limits.FileDescriptors/2)), ants.WithNonblocking(true), ants.WithExpiryDuration(n.Heartbeats(8)))
@@ -189,7 +121,7 @@
 			return err
 		})
 	}
-	t.cacheNode = opt.Role == RoleCache
+	t.cacheNode = opt.Role == host.RoleCache
 	t.cacheNodeHealth = relay.NewChoice(n.Heartbeats(1))
 	memory := s.Limits.MemoryMb * (1 << 20)
 	if memory <= 0 {
@@ -198,10 +130,9 @@
 	t.cacheHandler = frontend.NewPantry(int(memory*opt.Shelf), n.Now, t)
 	t.frontend.SetPantry(t.cacheHandler)
 	if t.cacheNode {
-		t.fetcher = NewFetcher(n, t, int(memory*opt.LarderShelf))
-		n.fetcher = t.fetcher
+		t.fetcher = NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.LarderShelf))
 	} else {
-		t.fetcher = NewFetcher(n, t, int(memory*opt.Shelf/4))
+		t.fetcher = NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.Shelf/4))
 	}
 	t.layouts = shardmap.New(shardmap.Options{
 		R: opt.Slots, Least: 2, Lease: n.Heartbeats(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
@@ -254,18 +185,6 @@
 	return out
 }
 
-// Distance tells how far a zone is: this node's own, its region, or beyond.
-func (n *Node) Distance(zone string) int {
-	s := n.Settings()
-	if zone == s.Zone {
-		return 0
-	}
-	if region, known := s.Zones[zone]; known && region == s.Region {
-		return 1
-	}
-	return 2
-}
-
 // pickWatchTargets chooses the huts to watch: one more than may be lost at once, the
 // nearest first, those that did not answer lately last. However many fronts
 // and huts there are, a front holds that many calls. It runs on the desk.
@@ -699,7 +618,7 @@
 		st.Copies, st.CopyBytes = t.fetcher.Held()
 	}
 	st.Fetched, st.Purge = t.fetcher.Fetches(), t.cacheHandler.Known()
-	st.Part, _ = t.quotaShare()
+	st.Part, _ = t.QuotaShare()
 	t.loop.Call(func() {
 		st.Slot, st.LastBuilt, st.Current, st.Fronts = t.progress.Load().slot, t.layouts.LastBuilt, t.layouts.Current.Version, int(t.frontCount.Load())
 		if t.layouts.Next != nil {
