--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,47 +1,47 @@
 package consensus
 
-// Ask is a proposer's message: Prepare without a Value, Accept with one.
-type Ask struct {
+// Request is a proposer's message: Prepare without a Value, Accept with one.
+type Request struct {
 	Slot   int64
 	Ballot Ballot
 	Value  *Value `json:",omitempty"`
 }
 
-// Say is an acceptor's reply.
-type Say struct {
-	ID string
-	// Slot is the last slot that the acceptor knows as decided.
-	Slot int64
+// Response is an acceptor's reply.
+type Response struct {
+	AcceptorID string
+	// DecidedSlot is the last slot that the acceptor knows as decided.
+	DecidedSlot int64
 	// OK: promised, or accepted.
 	OK bool
 	// Promised is the ballot below which the acceptor refuses.
 	Promised Ballot
-	// Accepted and Value: what it accepted earlier for this slot, if anything.
-	Accepted Ballot
-	Value    *Value `json:",omitempty"`
-	// Ahead carries the decided state where the acceptor knows more than the asker.
-	Ahead *State `json:",omitempty"`
+	// AcceptedBallot and Value: what it accepted earlier for this slot, if anything.
+	AcceptedBallot Ballot
+	AcceptedValue  *Value `json:",omitempty"`
+	// NewerState carries the decided state where the acceptor knows more than the asker.
+	NewerState *State `json:",omitempty"`
 }
 
 // Acceptor is what one voter keeps. All of it is written to disk before a
 // reply that changed it leaves.
 type Acceptor struct {
-	ID       string
-	State    State
-	Promised Ballot
-	Accepted Ballot
-	Value    *Value `json:",omitempty"`
+	ID             string
+	State          State
+	Promised       Ballot
+	AcceptedBallot Ballot
+	AcceptedValue  *Value `json:",omitempty"`
 }
 
-// Take answers an Ask; changed tells whether the acceptor must be written first.
-func (a *Acceptor) Take(m Ask) (say Say, changed bool) {
-	say = Say{ID: a.ID, Slot: a.State.Slot}
+// Handle answers an Ask; changed tells whether the acceptor must be written first.
+func (a *Acceptor) Handle(m Request) (say Response, changed bool) {
+	say = Response{AcceptorID: a.ID, DecidedSlot: a.State.Slot}
 	if m.Slot <= a.State.Slot {
 		st := a.State
-		say.Ahead = &st
+		say.NewerState = &st
 		return say, false
 	}
-	if m.Slot > a.State.Slot+1 || !a.State.Votes(a.ID) {
+	if m.Slot > a.State.Slot+1 || !a.State.IsVoter(a.ID) {
 		// Whoever lacks the state before the slot, or has no vote on it, says
 		// nothing: least of all a node that knows no state, to which slot 1
 		// seems to be the next.
@@ -54,10 +54,10 @@
 	if m.Value == nil {
 		changed = a.Promised.Less(m.Ballot)
 		a.Promised = m.Ballot
-		say.Accepted, say.Value = a.Accepted, a.Value
+		say.AcceptedBallot, say.AcceptedValue = a.AcceptedBallot, a.AcceptedValue
 	} else {
 		changed = true
-		a.Promised, a.Accepted, a.Value = m.Ballot, m.Ballot, m.Value
+		a.Promised, a.AcceptedBallot, a.AcceptedValue = m.Ballot, m.Ballot, m.Value
 	}
 	say.OK, say.Promised = true, a.Promised
 	return say, changed
@@ -69,6 +69,6 @@
 		return false
 	}
 	a.State = s
-	a.Promised, a.Accepted, a.Value = Ballot{}, Ballot{}, nil
+	a.Promised, a.AcceptedBallot, a.AcceptedValue = Ballot{}, Ballot{}, nil
 	return true
 }
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -13,14 +13,14 @@
 // first use, tells its lives apart. So whoever accepted a value under a ballot
 // knows what was chosen under it.
 type Ballot struct {
-	N    int64
-	By   string
-	Life int64 `json:",omitempty"`
+	Round       int64
+	ProposerID  string
+	Incarnation int64 `json:",omitempty"`
 }
 
 // Less tells whether b is below o.
 func (b Ballot) Less(o Ballot) bool {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.Life, o.Life)) < 0
+	return cmp.Or(cmp.Compare(b.Round, o.Round), cmp.Compare(b.ProposerID, o.ProposerID), cmp.Compare(b.Incarnation, o.Incarnation)) < 0
 }
 
 // String shows a ballot to operators; none is empty.
@@ -28,7 +28,7 @@
 	if b == (Ballot{}) {
 		return ""
 	}
-	return fmt.Sprintf("%d of %s, life %d", b.N, b.By, b.Life)
+	return fmt.Sprintf("%d of %s, life %d", b.Round, b.ProposerID, b.Incarnation)
 }
 
 // Voter is a node that votes, under the identity its disk was given.
@@ -40,8 +40,8 @@
 // Purge names copies that may not be served any more: one object by host and
 // path, or all that carry a tag.
 type Purge struct {
-	// N numbers the purges; it is given when the slot is decided.
-	N int64 `json:",omitempty"`
+	// Seq numbers the purges; it is given when the slot is decided.
+	Seq int64 `json:",omitempty"`
 	// Slot decided it.
 	Slot int64 `json:",omitempty"`
 	// ID is drawn by whoever took the operator's call, to know it again.
@@ -51,8 +51,8 @@
 	Tag  string `json:",omitempty"`
 }
 
-// Larder is a node that keeps copies and may fetch.
-type Larder struct {
+// CacheNode is a node that keeps copies and may fetch.
+type CacheNode struct {
 	Name string
 	IP   string
 	Zone string
@@ -61,16 +61,16 @@
 // Value is what a slot decides: a configuration on top of Base, a set of
 // voters, some purges, the set of larders, or a step of a rollout.
 type Value struct {
-	Version int64  `json:",omitempty"`
-	Base    int64  `json:",omitempty"`
-	Body    string `json:",omitempty"`
-	// Sent is the fingerprint of the operator's call where that is not Body itself.
-	Sent    string   `json:",omitempty"`
-	Voters  []Voter  `json:",omitempty"`
-	Purges  []Purge  `json:",omitempty"`
-	Larders []Larder `json:",omitempty"`
-	// NoLarders: the set of larders is empty.
-	NoLarders bool `json:",omitempty"`
+	Version     int64  `json:",omitempty"`
+	BaseVersion int64  `json:",omitempty"`
+	Body        string `json:",omitempty"`
+	// RequestFingerprint is the fingerprint of the operator's call where that is not Body itself.
+	RequestFingerprint string      `json:",omitempty"`
+	Voters             []Voter     `json:",omitempty"`
+	Purges             []Purge     `json:",omitempty"`
+	CacheNodes         []CacheNode `json:",omitempty"`
+	// NoCacheNodes: the set of larders is empty.
+	NoCacheNodes bool `json:",omitempty"`
 	// Rollout is an order (without N), or the next phase of one.
 	Rollout *Rollout `json:",omitempty"`
 }
@@ -78,11 +78,11 @@
 // Equal compares two values.
 func (v Value) Equal(o Value) bool { return reflect.DeepEqual(v, o) }
 
-// Taken remembers a configuration that was chosen, to know its resends.
-type Taken struct {
-	Version int64
-	Base    int64
-	Sum     string
+// AppliedChange remembers a configuration that was chosen, to know its resends.
+type AppliedChange struct {
+	Version     int64
+	BaseVersion int64
+	Fingerprint string
 	// Slot decided it.
 	Slot int64 `json:",omitempty"`
 }
@@ -90,8 +90,8 @@
 // TakenKept bounds how many chosen configurations are remembered: two days of
 // 2,000 changes each, about a quarter of a megabyte. purgesKept bounds the purges.
 const (
-	TakenKept  = 4096
-	purgesKept = 256
+	MaxAppliedChanges = 4096
+	maxPurges         = 256
 )
 
 // State is all that the decided slots say.
@@ -103,25 +103,25 @@
 	VotersSlot int64 `json:",omitempty"`
 	Version    int64
 	Body       string `json:",omitempty"`
-	// TakenSeq counts the configurations that were chosen; Taken holds the newest ones.
-	TakenSeq int64   `json:",omitempty"`
-	Taken    []Taken `json:",omitempty"`
+	// AppliedCount counts the configurations that were chosen; Taken holds the newest ones.
+	AppliedCount   int64           `json:",omitempty"`
+	AppliedChanges []AppliedChange `json:",omitempty"`
 	// PurgeSeq is the number of the last purge; Purges holds the newest ones.
-	PurgeSeq int64    `json:",omitempty"`
-	Purges   []Purge  `json:",omitempty"`
-	Larders  []Larder `json:",omitempty"`
+	PurgeSeq   int64       `json:",omitempty"`
+	Purges     []Purge     `json:",omitempty"`
+	CacheNodes []CacheNode `json:",omitempty"`
 	// Rollouts holds each service's last order, those changed last at the end.
 	Rollouts []Rollout `json:",omitempty"`
-	// Ordered holds the last few orders of each service, the newest at the end.
-	Ordered []Ordered `json:",omitempty"`
+	// PastOrders holds the last few orders of each service, the newest at the end.
+	PastOrders []PastOrder `json:",omitempty"`
 }
 
-// PurgeFloor is the number of the last purge that is no longer held.
-func (s State) PurgeFloor() int64 { return s.PurgeSeq - int64(len(s.Purges)) }
+// CompactedPurgeSeq is the number of the last purge that is no longer held.
+func (s State) CompactedPurgeSeq() int64 { return s.PurgeSeq - int64(len(s.Purges)) }
 
 // PurgesAfter lists the purges held with a number above n.
 func (s State) PurgesAfter(n int64) []Purge {
-	return s.Purges[min(max(0, n-s.PurgeFloor()), int64(len(s.Purges))):]
+	return s.Purges[min(max(0, n-s.CompactedPurgeSeq()), int64(len(s.Purges))):]
 }
 
 // HasPurge tells whether the purge of that call is among those held.
@@ -134,8 +134,8 @@
 	return false
 }
 
-// Sum is the fingerprint under which a configuration is remembered.
-func Sum(body string) string {
+// Fingerprint is the fingerprint under which a configuration is remembered.
+func Fingerprint(body string) string {
 	h := sha256.Sum256([]byte(body))
 	return hex.EncodeToString(h[:16])
 }
@@ -151,53 +151,53 @@
 		n.Voters, n.VotersSlot = v.Voters, n.Slot
 		return n
 	case v.Rollout != nil:
-		n.roll(*v.Rollout)
+		n.applyRollout(*v.Rollout)
 		return n
-	case len(v.Larders) > 0 || v.NoLarders:
-		n.Larders = v.Larders
+	case len(v.CacheNodes) > 0 || v.NoCacheNodes:
+		n.CacheNodes = v.CacheNodes
 		return n
 	case len(v.Purges) > 0:
 		n.Purges = append([]Purge(nil), s.Purges...)
 		for _, p := range v.Purges {
 			n.PurgeSeq++
-			p.N, p.Slot = n.PurgeSeq, n.Slot
+			p.Seq, p.Slot = n.PurgeSeq, n.Slot
 			n.Purges = append(n.Purges, p)
 		}
-		n.Purges = n.Purges[max(0, len(n.Purges)-purgesKept):]
+		n.Purges = n.Purges[max(0, len(n.Purges)-maxPurges):]
 		return n
 	}
-	if v.Base != s.Version || v.Version <= s.Version {
+	if v.BaseVersion != s.Version || v.Version <= s.Version {
 		return n
 	}
 	n.Version, n.Body = v.Version, v.Body
-	sum := v.Sent
+	sum := v.RequestFingerprint
 	if sum == "" {
-		sum = Sum(v.Body)
+		sum = Fingerprint(v.Body)
 	}
-	n.take(Taken{v.Version, v.Base, sum, n.Slot})
+	n.rememberChanges(AppliedChange{v.Version, v.BaseVersion, sum, n.Slot})
 	return n
 }
 
-// take remembers chosen configurations; those before are never changed in place.
-func (s *State) take(more ...Taken) {
-	s.TakenSeq += int64(len(more))
-	all := make([]Taken, 0, len(s.Taken)+len(more))
-	all = append(append(all, s.Taken...), more...)
-	s.Taken = all[max(0, len(all)-TakenKept):]
+// rememberChanges remembers chosen configurations; those before are never changed in place.
+func (s *State) rememberChanges(more ...AppliedChange) {
+	s.AppliedCount += int64(len(more))
+	all := make([]AppliedChange, 0, len(s.AppliedChanges)+len(more))
+	all = append(append(all, s.AppliedChanges...), more...)
+	s.AppliedChanges = all[max(0, len(all)-MaxAppliedChanges):]
 }
 
-// Has tells whether the change that came by the call with that fingerprint was chosen earlier.
-func (s State) Has(version, base int64, sum string) bool {
-	for i := len(s.Taken) - 1; i >= 0; i-- {
-		if t := s.Taken[i]; t.Version == version && t.Base == base && t.Sum == sum {
+// HasApplied tells whether the change that came by the call with that fingerprint was chosen earlier.
+func (s State) HasApplied(version, base int64, sum string) bool {
+	for i := len(s.AppliedChanges) - 1; i >= 0; i-- {
+		if t := s.AppliedChanges[i]; t.Version == version && t.BaseVersion == base && t.Fingerprint == sum {
 			return true
 		}
 	}
 	return false
 }
 
-// Votes tells whether id is among the voters.
-func (s State) Votes(id string) bool {
+// IsVoter tells whether id is among the voters.
+func (s State) IsVoter(id string) bool {
 	for _, v := range s.Voters {
 		if v.ID == id {
 			return true
--- a/internal/endpoints/hutbook.go
+++ b/internal/endpoints/hutbook.go
@@ -9,9 +9,9 @@
 
 // Stamp orders tables: the duty's epoch, then its holder, then a count.
 type Stamp struct {
-	Epoch int64
-	By    string
-	Seq   int64
+	Epoch    int64
+	Holder   string
+	Sequence int64
 }
 
 // Before tells whether s is older than o.
@@ -19,10 +19,10 @@
 	if s.Epoch != o.Epoch {
 		return s.Epoch < o.Epoch
 	}
-	if s.By != o.By {
-		return s.By < o.By
+	if s.Holder != o.Holder {
+		return s.Holder < o.Holder
 	}
-	return s.Seq < o.Seq
+	return s.Sequence < o.Sequence
 }
 
 // Endpoint is one instance on the list.
@@ -32,36 +32,36 @@
 	Addr    string
 	Zone    string
 	// Version is that of its software.
-	Version string `json:",omitempty"`
-	Slots   int    `json:",omitempty"`
-	Drains  bool   `json:",omitempty"`
-	// Cold: it started so lately that it still runs slow.
-	Cold bool `json:",omitempty"`
-	// Entry is the searcher's sequential number: earlier ones have the slots first.
-	Entry int64
+	Version  string `json:",omitempty"`
+	Slots    int    `json:",omitempty"`
+	Draining bool   `json:",omitempty"`
+	// WarmingUp: it started so lately that it still runs slow.
+	WarmingUp bool `json:",omitempty"`
+	// Ordinal is the searcher's sequential number: earlier ones have the slots first.
+	Ordinal int64
 }
 
 // Table is the list under its stamp. It is never changed once made.
 type Table struct {
-	Stamp     Stamp
-	NextEntry int64
-	Searchers []Endpoint
-	// First is the version that each service's searchers had when they were
+	Stamp       Stamp
+	NextOrdinal int64
+	Endpoints   []Endpoint
+	// InitialVersions is the version that each service's searchers had when they were
 	// first listed; it is in force until an order moves the service.
-	First map[string]string `json:",omitempty"`
+	InitialVersions map[string]string `json:",omitempty"`
 }
 
 // Delta is what changed between two tables. Searchers that only began to
 // drain, or are no longer cold, are named by their entries alone, like those
 // that are gone.
 type Delta struct {
-	From, To  Stamp
-	NextEntry int64
-	Set       []Endpoint        `json:",omitempty"`
-	Drains    []int64           `json:",omitempty"`
-	Warm      []int64           `json:",omitempty"`
-	Gone      []int64           `json:",omitempty"`
-	First     map[string]string `json:",omitempty"`
+	From, To        Stamp
+	NextOrdinal     int64
+	Upserts         []Endpoint        `json:",omitempty"`
+	Draining        []int64           `json:",omitempty"`
+	WarmedUp        []int64           `json:",omitempty"`
+	Removed         []int64           `json:",omitempty"`
+	InitialVersions map[string]string `json:",omitempty"`
 }
 
 // Diff gives the way from one table to another, or from none to the first.
@@ -69,40 +69,40 @@
 	if from == nil {
 		from = &Table{}
 	}
-	d := &Delta{From: from.Stamp, To: to.Stamp, NextEntry: to.NextEntry}
+	d := &Delta{From: from.Stamp, To: to.Stamp, NextOrdinal: to.NextOrdinal}
 	was := map[int64]Endpoint{}
-	for _, s := range from.Searchers {
-		was[s.Entry] = s
+	for _, s := range from.Endpoints {
+		was[s.Ordinal] = s
 	}
-	for _, s := range to.Searchers {
-		old, ok := was[s.Entry]
-		delete(was, s.Entry)
+	for _, s := range to.Endpoints {
+		old, ok := was[s.Ordinal]
+		delete(was, s.Ordinal)
 		if ok && old == s {
 			continue
 		}
-		drains, warm := !old.Drains && s.Drains, old.Cold && !s.Cold
-		old.Drains, old.Cold = s.Drains, s.Cold
+		drains, warm := !old.Draining && s.Draining, old.WarmingUp && !s.WarmingUp
+		old.Draining, old.WarmingUp = s.Draining, s.WarmingUp
 		if !ok || old != s || !drains && !warm {
-			d.Set = append(d.Set, s)
+			d.Upserts = append(d.Upserts, s)
 			continue
 		}
 		if drains {
-			d.Drains = append(d.Drains, s.Entry)
+			d.Draining = append(d.Draining, s.Ordinal)
 		}
 		if warm {
-			d.Warm = append(d.Warm, s.Entry)
+			d.WarmedUp = append(d.WarmedUp, s.Ordinal)
 		}
 	}
 	for entry := range was {
-		d.Gone = append(d.Gone, entry)
+		d.Removed = append(d.Removed, entry)
 	}
-	slices.Sort(d.Gone)
-	for service, v := range to.First {
-		if from.First[service] == "" {
-			if d.First == nil {
-				d.First = map[string]string{}
+	slices.Sort(d.Removed)
+	for service, v := range to.InitialVersions {
+		if from.InitialVersions[service] == "" {
+			if d.InitialVersions == nil {
+				d.InitialVersions = map[string]string{}
 			}
-			d.First[service] = v
+			d.InitialVersions[service] = v
 		}
 	}
 	return d
@@ -117,31 +117,31 @@
 		return nil
 	}
 	set := map[int64]Endpoint{}
-	for _, s := range d.Set {
-		set[s.Entry] = s
+	for _, s := range d.Upserts {
+		set[s.Ordinal] = s
 	}
-	drains, warm, gone := entries(d.Drains), entries(d.Warm), entries(d.Gone)
-	n := &Table{Stamp: d.To, NextEntry: d.NextEntry, First: maps.Clone(t.First)}
-	if n.First == nil {
-		n.First = map[string]string{}
+	drains, warm, gone := entries(d.Draining), entries(d.WarmedUp), entries(d.Removed)
+	n := &Table{Stamp: d.To, NextOrdinal: d.NextOrdinal, InitialVersions: maps.Clone(t.InitialVersions)}
+	if n.InitialVersions == nil {
+		n.InitialVersions = map[string]string{}
 	}
-	maps.Copy(n.First, d.First)
-	for _, s := range t.Searchers {
-		if gone[s.Entry] {
+	maps.Copy(n.InitialVersions, d.InitialVersions)
+	for _, s := range t.Endpoints {
+		if gone[s.Ordinal] {
 			continue
 		}
-		if now, ok := set[s.Entry]; ok {
+		if now, ok := set[s.Ordinal]; ok {
 			s = now
-			delete(set, s.Entry)
+			delete(set, s.Ordinal)
 		}
-		s.Drains = s.Drains || drains[s.Entry]
-		s.Cold = s.Cold && !warm[s.Entry]
-		n.Searchers = append(n.Searchers, s)
+		s.Draining = s.Draining || drains[s.Ordinal]
+		s.WarmingUp = s.WarmingUp && !warm[s.Ordinal]
+		n.Endpoints = append(n.Endpoints, s)
 	}
 	for _, s := range set {
-		n.Searchers = append(n.Searchers, s)
+		n.Endpoints = append(n.Endpoints, s)
 	}
-	sort.Slice(n.Searchers, func(i, j int) bool { return n.Searchers[i].ID < n.Searchers[j].ID })
+	sort.Slice(n.Endpoints, func(i, j int) bool { return n.Endpoints[i].ID < n.Endpoints[j].ID })
 	return n
 }
 
@@ -168,35 +168,35 @@
 // searchers keep their entries, new ones get the next, in the order of their
 // names. changed tells whether anything but the stamp differs.
 func NextTable(old *Table, list []Endpoint, stamp Stamp) (t *Table, changed bool) {
-	t = &Table{Stamp: stamp, NextEntry: 1}
+	t = &Table{Stamp: stamp, NextOrdinal: 1}
 	known := map[string]Endpoint{}
 	if old != nil {
-		t.NextEntry = old.NextEntry
-		for _, s := range old.Searchers {
+		t.NextOrdinal = old.NextOrdinal
+		for _, s := range old.Endpoints {
 			known[s.ID] = s
 		}
 	}
-	t.Searchers = append(t.Searchers, list...)
-	sort.Slice(t.Searchers, func(i, j int) bool { return t.Searchers[i].ID < t.Searchers[j].ID })
-	changed = old == nil || len(old.Searchers) != len(list)
-	for i := range t.Searchers {
-		s := &t.Searchers[i]
+	t.Endpoints = append(t.Endpoints, list...)
+	sort.Slice(t.Endpoints, func(i, j int) bool { return t.Endpoints[i].ID < t.Endpoints[j].ID })
+	changed = old == nil || len(old.Endpoints) != len(list)
+	for i := range t.Endpoints {
+		s := &t.Endpoints[i]
 		k, ok := known[s.ID]
 		if ok {
-			s.Entry = k.Entry
+			s.Ordinal = k.Ordinal
 			// A list that lags may call a searcher ready again; one that drains never comes back.
-			s.Drains = s.Drains || k.Drains
+			s.Draining = s.Draining || k.Draining
 		} else {
-			s.Entry = t.NextEntry
-			t.NextEntry++
+			s.Ordinal = t.NextOrdinal
+			t.NextOrdinal++
 		}
 		changed = changed || !ok || *s != k
 	}
 	if old != nil {
-		t.First = maps.Clone(old.First)
+		t.InitialVersions = maps.Clone(old.InitialVersions)
 	}
-	if t.First == nil {
-		t.First = map[string]string{}
+	if t.InitialVersions == nil {
+		t.InitialVersions = map[string]string{}
 	}
 	t.meet()
 	return t, changed
@@ -206,8 +206,8 @@
 // there are several, the one of most searchers, and of these the lowest.
 func (t *Table) meet() {
 	count := map[string]map[string]int{}
-	for _, s := range t.Searchers {
-		if s.Version == "" || t.First[s.Service] != "" {
+	for _, s := range t.Endpoints {
+		if s.Version == "" || t.InitialVersions[s.Service] != "" {
 			continue
 		}
 		if count[s.Service] == nil {
@@ -216,7 +216,7 @@
 		count[s.Service][s.Version]++
 	}
 	for service, versions := range count {
-		t.First[service] = slices.MinFunc(slices.Collect(maps.Keys(versions)), func(a, b string) int {
+		t.InitialVersions[service] = slices.MinFunc(slices.Collect(maps.Keys(versions)), func(a, b string) int {
 			return cmp.Or(cmp.Compare(versions[b], versions[a]), cmp.Compare(a, b))
 		})
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -60,7 +60,7 @@
 	h.settings.Store(settings)
 	idle := config.Milliseconds(settings.Bounds.InTouchMs, 1)
 	h.Client = transport.NewClient(maxIdleConnections, idle, h.TCPUserTimeout(), h.MaxMessageBytes())
-	self := peersampling.Node{Name: settings.NodeName, IP: settings.IpAddress, Zone: settings.Zone, Hut: settings.HasDisk() && options.Role != RoleCache}
+	self := peersampling.Node{Name: settings.NodeName, IP: settings.IpAddress, Zone: settings.Zone, IsControl: settings.HasDisk() && options.Role != RoleCache}
 	h.View = peersampling.NewView(self, viewSize, shuffleSize)
 	return h
 }
--- a/internal/lease/duty.go
+++ b/internal/lease/duty.go
@@ -156,7 +156,7 @@
 		return
 	}
 	switch {
-	case g.OK:
+	case g.Granted:
 		if t, ok := d.granted[g.Voter]; !ok || sent > t {
 			d.granted[g.Voter] = sent
 		}
--- a/internal/lease/exhaustive_test.go
+++ b/internal/lease/exhaustive_test.go
@@ -65,8 +65,8 @@
 		sent = m.now
 	}
 	m.duties[i].OnResponse(say.bid, say.grant, sent, m.now)
-	if m.plant == takenAlone && say.grant.OK {
-		m.duties[i].OnResponse(say.bid, Response{Voter: "c", OK: true}, sent, m.now)
+	if m.plant == takenAlone && say.grant.Granted {
+		m.duties[i].OnResponse(say.bid, Response{Voter: "c", Granted: true}, sent, m.now)
 	}
 }
 
@@ -95,7 +95,7 @@
 		}
 		m.bids[i][v] = nil
 		m.says[i][v] = m.take(i, v, *b)
-		m.path = append(m.path, fmt.Sprintf("%d takes %d of %s: %v", v, b.bid.Epoch, b.bid.Holder, m.says[i][v].grant.OK))
+		m.path = append(m.path, fmt.Sprintf("%d takes %d of %s: %v", v, b.bid.Epoch, b.bid.Holder, m.says[i][v].grant.Granted))
 	case k < 14: // a candidate takes an answer
 		i, v := (k-8)/3, (k-8)%3
 		say := m.says[i][v]
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -280,9 +280,9 @@
 		v := m.nodes[j]
 		v.voter.SetReconfigurationPending(v.disk.accepted != nil && m.plant != unsettledGrants)
 		g, write := v.voter.HandleRequest(b, m.clock(j))
-		if m.plant == takenAlone && i == j && g.OK {
+		if m.plant == takenAlone && i == j && g.Granted {
 			for _, id := range m.nodes[i].set.voters {
-				m.nodes[i].duty.OnResponse(b, Response{Voter: id, OK: true}, sent, m.clock(i))
+				m.nodes[i].duty.OnResponse(b, Response{Voter: id, Granted: true}, sent, m.clock(i))
 			}
 		}
 		answer := func() {
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -17,29 +17,29 @@
 // Record is what a voter keeps on disk of a duty: the highest epoch that it
 // granted, and to which life of which holder.
 type Record struct {
-	Epoch  int64
-	Holder string
-	Life   int64
+	Epoch       int64
+	Holder      string
+	Incarnation int64
 }
 
 // Request asks a voter for a duty's lease under an epoch; the same bid again
 // renews it.
 type Request struct {
-	Duty   string
+	Role   string
 	Epoch  int64
 	Holder string
-	// Life numbers the lives of the holder's process; it is on its disk.
-	Life int64
+	// Incarnation numbers the lives of the holder's process; it is on its disk.
+	Incarnation int64
 	// VotersSlot is the slot that decided the voters that are asked.
 	VotersSlot int64
 }
 
-func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Life} }
+func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Incarnation} }
 
 // Response is a voter's answer.
 type Response struct {
-	Voter string
-	OK    bool
+	Voter   string
+	Granted bool
 	// Record is what the voter has granted. It is not a promise unless OK.
 	Record Record
 	// VotersSlot is the slot that decided the voters that this one knows.
@@ -100,7 +100,7 @@
 // HandleRequest answers a bid. Where write is above 0, the answer leaves only once the
 // records are on disk.
 func (v *Voter) HandleRequest(b Request, now time.Duration) (g Response, write int64) {
-	rec := v.records[b.Duty]
+	rec := v.records[b.Role]
 	g = Response{Voter: v.self, Record: rec, VotersSlot: v.votersSlot}
 	if !v.votes || v.unsettled || b.VotersSlot != v.votersSlot || setOf(b.Epoch) != b.VotersSlot {
 		return g, 0
@@ -109,11 +109,11 @@
 		if !v.free(b, rec, now) {
 			return g, 0
 		}
-		v.records[b.Duty] = b.record()
+		v.records[b.Role] = b.record()
 		v.written++
 	}
-	v.until[b.Duty] = now + v.lease
-	g.OK, g.Record = true, b.record()
+	v.until[b.Role] = now + v.lease
+	g.Granted, g.Record = true, b.record()
 	if v.kept < v.written {
 		write = v.written
 	}
@@ -124,9 +124,9 @@
 func (v *Voter) free(b Request, rec Record, now time.Duration) bool {
 	same := b.Holder == rec.Holder
 	switch {
-	case b.Epoch <= rec.Epoch, same && b.Life < rec.Life, now < v.mute:
+	case b.Epoch <= rec.Epoch, same && b.Incarnation < rec.Incarnation, now < v.mute:
 		return false
-	case !same && now < v.until[b.Duty]:
+	case !same && now < v.until[b.Role]:
 		return false
 	case now < v.began+v.lease:
 		// The record names the only holder whose lease may rest on this voter,
@@ -139,7 +139,7 @@
 
 // HandleRelease ends the lease of that bid before its time.
 func (v *Voter) HandleRelease(b Request, now time.Duration) {
-	if v.records[b.Duty] == b.record() {
-		v.until[b.Duty] = now
+	if v.records[b.Role] == b.record() {
+		v.until[b.Role] = now
 	}
 }
--- a/internal/lease/warden_test.go
+++ b/internal/lease/warden_test.go
@@ -115,7 +115,7 @@
 	}
 	// A release that comes late ends nothing.
 	p.voters["b"].HandleRelease(b, 34*s/20)
-	if g, _ := p.voters["b"].HandleRequest(Request{"list", 9, "c", 1, 0}, 34*s/20); g.OK {
+	if g, _ := p.voters["b"].HandleRequest(Request{"list", 9, "c", 1, 0}, 34*s/20); g.Granted {
 		t.Fatal("an old release ended a newer lease")
 	}
 	// Leaving in order gives the lease back at once.
@@ -129,7 +129,7 @@
 	v := NewVoter("v", s, nil, 0, true, 0)
 	b := Request{"list", 1, "a", 1, 0}
 	g, write := v.HandleRequest(b, s)
-	if !g.OK || write == 0 {
+	if !g.Granted || write == 0 {
 		t.Fatal("a grant is answered before it is on disk")
 	}
 	if _, again := v.HandleRequest(b, s); again == 0 {
@@ -140,25 +140,25 @@
 		t.Fatal("an earlier write counts for a later one")
 	}
 	v.MarkDurable(write)
-	if g, again := v.HandleRequest(b, s); !g.OK || again != 0 {
+	if g, again := v.HandleRequest(b, s); !g.Granted || again != 0 {
 		t.Fatal("a renewal needs the disk")
 	}
 	// Its next life forgets the leases, not the records.
 	records, _ := v.Records()
 	v = NewVoter("v", s, records, 0, true, 0)
-	if g, _ := v.HandleRequest(Request{"list", 2, "b", 1, 0}, s-1); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 2, "b", 1, 0}, s-1); g.Granted {
 		t.Fatal("a voter that just started grants another holder")
 	}
-	if g, _ := v.HandleRequest(Request{"list", 2, "a", 2, 0}, s-1); !g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 2, "a", 2, 0}, s-1); !g.Granted {
 		t.Fatal("the holder's next life waits")
 	}
-	if g, _ := v.HandleRequest(Request{"list", 3, "a", 1, 0}, s-1); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 3, "a", 1, 0}, s-1); g.Granted {
 		t.Fatal("an earlier life is granted an epoch")
 	}
-	if g, _ := v.HandleRequest(Request{"list", 3, "b", 1, 0}, 2*s); !g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 3, "b", 1, 0}, 2*s); !g.Granted {
 		t.Fatal("a lease has no end")
 	}
-	if g, _ := v.HandleRequest(Request{"list", 3, "c", 1, 0}, 9*s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 3, "c", 1, 0}, 9*s); g.Granted {
 		t.Fatal("an epoch is granted twice")
 	}
 }
@@ -167,30 +167,30 @@
 	v := NewVoter("v", s, nil, 0, true, 0)
 	v.HandleRequest(Request{"list", 7, "a", 1, 0}, s)
 	v.SetReconfigurationPending(true)
-	if g, _ := v.HandleRequest(Request{"list", 7, "a", 1, 0}, s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 7, "a", 1, 0}, s); g.Granted {
 		t.Fatal("renewed while other voters may be in force")
 	}
 	v.SetReconfigurationPending(false)
 	v.SetVoters(3, true, true, s)
-	if g, _ := v.HandleRequest(Request{"list", 8, "a", 1, 0}, s); g.OK || g.VotersSlot != 3 {
+	if g, _ := v.HandleRequest(Request{"list", 8, "a", 1, 0}, s); g.Granted || g.VotersSlot != 3 {
 		t.Fatal("a bid to earlier voters is granted")
 	}
-	if g, _ := v.HandleRequest(Request{"list", 8, "a", 1, 3}, s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", 8, "a", 1, 3}, s); g.Granted {
 		t.Fatal("an epoch of earlier voters is granted")
 	}
-	if g, _ := v.HandleRequest(Request{"list", firstEpoch(3), "b", 1, 3}, s); g.OK {
+	if g, _ := v.HandleRequest(Request{"list", firstEpoch(3), "b", 1, 3}, s); g.Granted {
 		t.Fatal("the lease of another ended with the earlier voters")
 	}
-	if g, _ := v.HandleRequest(Request{"list", firstEpoch(3), "a", 1, 3}, s); !g.OK {
+	if g, _ := v.HandleRequest(Request{"list", firstEpoch(3), "a", 1, 3}, s); !g.Granted {
 		t.Fatal("the holder gets no epoch of the new voters")
 	}
 	// A new voter, and one that may have been out, grant nothing for a lease.
 	for _, v := range []*Voter{NewVoter("w", s, nil, 2, false, 0), NewVoter("w", s, nil, 2, true, 0)} {
 		v.SetVoters(5, true, false, 4*s)
-		if g, _ := v.HandleRequest(Request{"list", firstEpoch(5), "a", 1, 5}, 5*s-1); g.OK {
+		if g, _ := v.HandleRequest(Request{"list", firstEpoch(5), "a", 1, 5}, 5*s-1); g.Granted {
 			t.Fatal("a new voter grants at once")
 		}
-		if g, _ := v.HandleRequest(Request{"list", firstEpoch(5), "a", 1, 5}, 5*s); !g.OK {
+		if g, _ := v.HandleRequest(Request{"list", firstEpoch(5), "a", 1, 5}, 5*s); !g.Granted {
 			t.Fatal("a new voter grants nothing")
 		}
 	}
@@ -198,7 +198,7 @@
 	d.SetIncarnation(1)
 	d.SetVoters(0, []string{"a"})
 	b, _ := d.NextRequest(1)
-	d.OnResponse(b, Response{Voter: "a", OK: true}, 1, 1)
+	d.OnResponse(b, Response{Voter: "a", Granted: true}, 1, 1)
 	if !d.Holds(1) {
 		t.Fatal("a lone voter is no majority")
 	}
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -19,20 +19,20 @@
 
 // ConsensusRequest is an Ask; Packed holds the body of its value.
 type ConsensusRequest struct {
-	consensus.Ask
+	consensus.Request
 	Packed []byte `json:",omitempty"`
 }
 
 // ConsensusResponse is a Say; Packed holds the body of its value, News stand for Ahead.
 type ConsensusResponse struct {
-	consensus.Say
+	consensus.Response
 	Packed []byte      `json:",omitempty"`
 	News   *StateDelta `json:",omitempty"`
 }
 
 // StateDelta are cairn.News whose body is packed on top of that of version Base.
 type StateDelta struct {
-	consensus.News
+	consensus.StateDelta
 	Base   int64  `json:",omitempty"`
 	Packed []byte `json:",omitempty"`
 }
@@ -61,28 +61,28 @@
 			}
 			m.Value = &whole
 		}
-		was := h.acceptor.Accepted
+		was := h.acceptor.AcceptedBallot
 		var needs int64
-		say.Say, needs = h.acceptor.Vote(m.Ask)
-		h.highestRound = max(h.highestRound, m.Ballot.N, h.acceptor.Promised.N)
-		if h.acceptor.Accepted != was {
+		say.Response, needs = h.acceptor.Handle(m.Request)
+		h.highestRound = max(h.highestRound, m.Ballot.Round, h.acceptor.Promised.Round)
+		if h.acceptor.AcceptedBallot != was {
 			h.packedValue = m.Packed
 		}
-		if say.Value != nil {
-			say.Value, say.Packed = withoutBody(say.Value, h.packedValue), h.packedValue
+		if say.AcceptedValue != nil {
+			say.AcceptedValue, say.Packed = withoutBody(say.AcceptedValue, h.packedValue), h.packedValue
 		}
-		if say.Ahead != nil {
-			say.Ahead, say.News = nil, h.stateDelta(m.Slot-1)
+		if say.NewerState != nil {
+			say.NewerState, say.News = nil, h.stateDelta(m.Slot-1)
 		}
-		if h.acceptor.Kept(needs) {
+		if h.acceptor.IsDurable(needs) {
 			done <- nil
 			return
 		}
-		b, mark := h.acceptor.Ballots()
-		b.Value = withoutBody(b.Value, h.packedValue)
+		b, mark := h.acceptor.BallotState()
+		b.AcceptedValue = withoutBody(b.AcceptedValue, h.packedValue)
 		h.writeRecord(recordBallot, BallotRecord{b, h.packedValue}, func(e error) {
 			if e == nil {
-				h.loop.Submit(func() { h.acceptor.Synced(mark) })
+				h.loop.Submit(func() { h.acceptor.MarkDurable(mark) })
 			}
 			done <- e
 		})
@@ -97,26 +97,26 @@
 
 // unpackResponse opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
-func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Say, error) {
-	if say.Value != nil && say.Packed != nil {
+func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Response, error) {
+	if say.AcceptedValue != nil && say.Packed != nil {
 		body, err := UnpackDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
 		if err != nil {
-			return say.Say, err
+			return say.Response, err
 		}
-		whole := *say.Value
+		whole := *say.AcceptedValue
 		whole.Body = body
-		say.Value = &whole
+		say.AcceptedValue = &whole
 	}
 	if say.News != nil {
 		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
 		if err != nil {
-			return say.Say, err
+			return say.Response, err
 		}
-		if s, ok := base.Follow(n); ok {
-			say.Ahead = &s
+		if s, ok := base.ApplyDelta(n); ok {
+			say.NewerState = &s
 		}
 	}
-	return say.Say, nil
+	return say.Response, nil
 }
 
 // stateDelta gives what a node at slot from lacks, packed once for all who are
@@ -126,7 +126,7 @@
 		return n
 	}
 	s := h.acceptor.State
-	n := &StateDelta{News: s.Since(from)}
+	n := &StateDelta{StateDelta: s.DeltaSince(from)}
 	if n.Body != "" {
 		base := ""
 		if v := s.VersionAt(from); v > 0 {
@@ -154,8 +154,8 @@
 const maxStateDeltas = 16
 
 // unpack gives the news whole; body finds that of a version.
-func (n *StateDelta) unpack(body func(int64) (string, bool), most int) (consensus.News, error) {
-	whole := n.News
+func (n *StateDelta) unpack(body func(int64) (string, bool), most int) (consensus.StateDelta, error) {
+	whole := n.StateDelta
 	if n.Packed == nil {
 		return whole, nil
 	}
@@ -186,10 +186,10 @@
 		return h.pastBodies[at].Body, true
 	}, h.host.MaxMessageBytes())
 	if err != nil {
-		events.Log(events.MessageRejected, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
+		events.Log(events.MessageRejected, "path", "news", "from", n.FromSlot, "slot", n.Slot, "err", err)
 		return false
 	}
-	s, ok := h.acceptor.State.Follow(whole)
+	s, ok := h.acceptor.State.ApplyDelta(whole)
 	if !ok {
 		return false
 	}
@@ -210,8 +210,8 @@
 	h.loop.Call(func() {
 		if m.News != nil {
 			h.applyStateDelta(m.News, "told")
-		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.Value != nil && h.acceptor.Accepted == m.Ballot {
-			h.learn(h.acceptor.State.Apply(*h.acceptor.Value), "accepted")
+		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.AcceptedValue != nil && h.acceptor.AcceptedBallot == m.Ballot {
+			h.learn(h.acceptor.State.Apply(*h.acceptor.AcceptedValue), "accepted")
 		}
 	})
 	transport.WriteJSON(c, 200, LearnResponse{h.waitDurable()})
@@ -222,7 +222,7 @@
 // held is the slot that the other is known to hold.
 func (h *ControlServer) sendState(ip string, held int64, within time.Duration) int64 {
 	until := time.Now().Add(within)
-	for _, from := range []int64{held, consensus.Nothing} {
+	for _, from := range []int64{held, consensus.NoSlot} {
 		var m LearnRequest
 		h.loop.Call(func() {
 			m = LearnRequest{Slot: h.acceptor.State.Slot}
@@ -235,7 +235,7 @@
 		if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
-		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
+		if say.Slot >= m.Slot || from == consensus.NoSlot || time.Now().After(until) {
 			events.Log(events.HintsDelivered, "to", ip, "slot", say.Slot)
 			return say.Slot
 		}
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -68,9 +68,9 @@
 			continue
 		}
 		t.rollouts.orders[r.Service] = r
-		if r.Phase == consensus.Trial && now > t.host.Heartbeats(4) {
+		if r.Phase == consensus.PhaseTrial && now > t.host.Heartbeats(4) {
 			// One that has just started does not know how much of it is over.
-			t.rollouts.trialUntil[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
+			t.rollouts.trialUntil[r.OrderSlot] = now + time.Duration(r.TrialMs)*time.Millisecond
 		}
 	}
 	first := t.progress.Load().rolloutSlot < 0
@@ -86,19 +86,19 @@
 func (t *FrontServer) applyTrafficSplits() {
 	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]observedRollout{}
 	if t.table != nil {
-		for service, first := range t.table.First {
+		for service, first := range t.table.InitialVersions {
 			lanes[service] = &rollout.Lane{From: first}
 		}
 	}
 	o, e := t.options.Rollout, t.host.RolloutExposure()
 	for service, r := range t.rollouts.orders {
-		l := &rollout.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.N], Halted: t.rollouts.halted[r.N]}
+		l := &rollout.Lane{From: r.FromVersion, Target: r.TargetVersion, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.OrderSlot], Halted: t.rollouts.halted[r.OrderSlot]}
 		if l.From == "" && lanes[service] != nil {
 			l.From = lanes[service].From
 		}
 		lanes[service] = l
 		if r.Running() {
-			watches[service] = observedRollout{r.N, l.From, r.Target, t.countEndpoints(service, r.Target) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
+			watches[service] = observedRollout{r.OrderSlot, l.From, r.TargetVersion, t.countEndpoints(service, r.TargetVersion) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
 		}
 	}
 	for service, l := range lanes {
@@ -124,8 +124,8 @@
 	if t.table == nil {
 		return 0
 	}
-	for _, s := range t.table.Searchers {
-		if s.Service == service && s.Version == version && !s.Drains {
+	for _, s := range t.table.Endpoints {
+		if s.Service == service && s.Version == version && !s.Draining {
 			n++
 		}
 	}
@@ -163,8 +163,8 @@
 	}
 	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Far()}
 	if c.New {
-		if c.Who = p.Entry; w.aggregateEndpoints {
-			c.Who = p.Entry % maxTrackedEndpoints
+		if c.Who = p.Ordinal; w.aggregateEndpoints {
+			c.Who = p.Ordinal % maxTrackedEndpoints
 		}
 	}
 	if s, ok := attemptSample(o, r.Aim); ok {
@@ -236,7 +236,7 @@
 			j = rollout.NewJudge(t.options.Rollout, w.term, now)
 			t.rollouts.evaluators[w.order] = j
 		}
-		j.Loaded = t.rollouts.orders[service].Phase != consensus.Canary
+		j.Loaded = t.rollouts.orders[service].Phase != consensus.PhaseCanary
 		j.Add(byOrder[w.order])
 		j.Step(now)
 		if j.Bad() != "" && !t.rollouts.halted[w.order] {
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -33,7 +33,7 @@
 	loop  *commandloop.Loop
 
 	// Owned by the desk.
-	acceptor         consensus.Keeper
+	acceptor         consensus.DurableAcceptor
 	versionLearnedAt time.Duration
 	// highestRound is the highest number of a ballot that was seen.
 	highestRound int64
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.TakenSeq
+	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.AppliedCount
 	h.incarnation++
 	records := map[string][]byte{recordIncarnation: Encode(recordIncarnation, h.incarnation)}
 	if id == "" {
@@ -154,18 +154,18 @@
 	}
 	h.acceptor.ID = id
 	h.acceptor.Restore(st, ballots)
-	h.packedValue, h.highestRound = packed, h.acceptor.Promised.N
+	h.packedValue, h.highestRound = packed, h.acceptor.Promised.Round
 	h.bootID = rand.Int64N(1<<40) << 10
 	h.unreachable.revision = h.bootID
 	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.Heartbeats(1), n.Now()), h.inheritedFrontCount
 	h.ineligible = true // until it has heard a majority
 	leaseDuration := n.Heartbeats(1.25)
-	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.Votes(id), n.Now())
+	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.IsVoter(id), n.Now())
 	h.pollLease = lease.NewCandidate(pollerRole, id, leaseDuration, n.Now())
 	h.pollLease.SetIncarnation(h.incarnation)
 	h.pollLease.ObserveEpoch(leases[pollerRole].Epoch, leases[pollerRole].Holder)
 	if h.table != nil {
-		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.By)
+		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.Holder)
 	}
 	h.applyVoters()
 	h.rollouts = newRolloutController(terms, n.Now())
@@ -239,7 +239,7 @@
 		h.versionLearnedAt = h.host.Now()
 	}
 	h.applyVoters()
-	h.voter.SetVoters(s.VotersSlot, s.Votes(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.Now())
+	h.voter.SetVoters(s.VotersSlot, s.IsVoter(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.Now())
 	h.applyRollouts()
 	h.persistState()
 	h.packedValue = nil
@@ -323,7 +323,7 @@
 		}
 	case PathPeek:
 		var say PeekResponse
-		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
+		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.AcceptedValue != nil} })
 		transport.WriteJSON(c, 200, say)
 	case PathHeartbeat:
 		var m Heartbeat
@@ -377,7 +377,7 @@
 			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case PathCacheJoin:
-		var l consensus.Larder
+		var l consensus.CacheNode
 		if !transport.ReadJSON(c, &l) {
 			return true
 		}
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -427,7 +427,7 @@
 		if k.front.ListedAsCacheNode() || k.host.Draining.Load() {
 			continue
 		}
-		self := consensus.Larder{Name: k.host.Settings().NodeName, IP: k.host.Settings().IpAddress, Zone: k.host.Settings().Zone}
+		self := consensus.CacheNode{Name: k.host.Settings().NodeName, IP: k.host.Settings().IpAddress, Zone: k.host.Settings().Zone}
 		for _, ip := range k.front.ControlIPs() {
 			if k.host.Client.CallJSON(k.host.Settings().InternalAddress(ip), PathCacheJoin, self, nil, config.Milliseconds(k.host.Settings().Bounds.AcknowledgeMs, 0.4)) == nil {
 				events.Log(events.CacheNodeRegistered, "by", ip)
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -46,7 +46,7 @@
 		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.Draining.Load()}
 		for _, v := range h.acceptor.State.Voters {
 			if v.ID != h.acceptor.ID && h.detector.SilentFor(v.ID, now) > h.replacementTimeout() {
-				say.Silent = append(say.Silent, v.ID)
+				say.Suspected = append(say.Suspected, v.ID)
 			}
 		}
 	})
@@ -61,9 +61,9 @@
 		held.Fronts = h.persistedFrontCount
 		// The store writes in order: once this is on disk, so is all before it.
 		s := h.acceptor.State
-		h.store.PutAll(stateRecords(s, s.Version, s.TakenSeq), func(e error) {
+		h.store.PutAll(stateRecords(s, s.Version, s.AppliedCount), func(e error) {
 			if e == nil {
-				h.loop.Submit(func() { h.acceptor.StateSynced(s.Slot); h.wakeDurabilityWaiters() })
+				h.loop.Submit(func() { h.acceptor.MarkStateDurable(s.Slot); h.wakeDurabilityWaiters() })
 			}
 			done <- e
 		})
@@ -111,7 +111,7 @@
 		}
 		owed := false
 		h.loop.Call(func() {
-			owed = h.acceptor.State.Slot == s.Slot && s.Votes(h.voterIDAt(ip)) && !h.handoff.Holds(ip, s.Slot)
+			owed = h.acceptor.State.Slot == s.Slot && s.IsVoter(h.voterIDAt(ip)) && !h.handoff.Holds(ip, s.Slot)
 		})
 		if !owed {
 			return
@@ -142,7 +142,7 @@
 		case <-time.After(time.Duration(float64(wait) * (0.5 + rand.Float64()))):
 		}
 		wait = h.host.Heartbeats(0.25)
-		if s := h.State(); s.Votes(h.acceptor.ID) || h.host.Draining.Load() {
+		if s := h.State(); s.IsVoter(h.acceptor.ID) || h.host.Draining.Load() {
 			continue
 		}
 		if judges := h.catchUp(); len(judges) > 0 {
@@ -201,12 +201,12 @@
 			break
 		}
 		slot, fits := int64(0), false
-		for _, at := range []int64{s.Slot, consensus.Nothing} {
+		for _, at := range []int64{s.Slot, consensus.NoSlot} {
 			var got StateDelta
-			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
+			if fits || len(s.Voters) == 0 && at != consensus.NoSlot {
 				continue
 			}
-			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.Heartbeats(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.Heartbeats(1)) != nil || at == consensus.NoSlot && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -223,7 +223,7 @@
 		break
 	}
 	for _, x := range seen {
-		if s.Votes(x.say.ID) {
+		if s.IsVoter(x.say.ID) {
 			judges = append(judges, x.ip)
 		}
 	}
@@ -252,7 +252,7 @@
 				return
 			}
 		case <-time.After(h.host.Heartbeats(0.8)):
-			if h.State().Votes(h.acceptor.ID) {
+			if h.State().IsVoter(h.acceptor.ID) {
 				return
 			}
 		case <-h.host.Stopping:
@@ -357,7 +357,7 @@
 	defer h.proposalLock.Unlock()
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
-		if s.Votes(m.ID) {
+		if s.IsVoter(m.ID) {
 			return s, true
 		}
 		if !slices.Equal(s.Voters, from) {
@@ -430,7 +430,7 @@
 // standbyCount counts those that stay and have no vote; it runs on the desk.
 func (h *ControlServer) standbyCount() (n int) {
 	for _, ip := range h.stayingPeers() {
-		if !h.acceptor.State.Votes(h.peers[ip].id) {
+		if !h.acceptor.State.IsVoter(h.peers[ip].id) {
 			n++
 		}
 	}
@@ -495,7 +495,7 @@
 	for try := 0; time.Now().Before(until); try++ {
 		var s consensus.State
 		begun := false
-		h.loop.Call(func() { s, begun = h.acceptor.State, h.acceptor.Value != nil })
+		h.loop.Call(func() { s, begun = h.acceptor.State, h.acceptor.AcceptedValue != nil })
 		if !begun || h.isolated() {
 			return
 		}
@@ -507,7 +507,7 @@
 
 // handOffAll brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *ControlServer) handOffAll(until time.Time) (p membership.HandoffProgress) {
+func (h *ControlServer) handOffAll(until time.Time) (p membership.DrainProgress) {
 	finish := make(chan struct{}, 1)
 	for {
 		var s consensus.State
@@ -515,7 +515,7 @@
 		var mine Heartbeat
 		h.loop.Call(func() {
 			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
-			p = membership.HandoffProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.Votes(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
+			p = membership.DrainProgress{ProposalPending: h.acceptor.AcceptedValue != nil, IsVoter: s.IsVoter(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
 		})
 		if p.ProposalPending {
 			select {
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -201,7 +201,7 @@
 		n.ViewLoop.Call(func() {
 			for _, ip := range n.Settings().SeedIPs() {
 				if ip != n.Settings().IpAddress && len(n.View.Nodes()) == 0 {
-					n.View.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
+					n.View.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, IsControl: true})
 				}
 			}
 			partner, offer, ok = n.View.BeginShuffle()
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -280,7 +280,7 @@
 		if r.Phase == phase {
 			return
 		}
-		h.propose(s, &consensus.Value{Rollout: &consensus.Rollout{N: r.N, Service: "plain", Phase: phase}})
+		h.propose(s, &consensus.Value{Rollout: &consensus.Rollout{OrderSlot: r.OrderSlot, Service: "plain", Phase: phase}})
 	}
 	t.Fatalf("the order did not become %s", phase)
 }
@@ -294,18 +294,18 @@
 	}
 	last := func(want string, phase consensus.Phase) {
 		t.Helper()
-		if r, _ := h.State().Rollout("plain"); r.Target != want || r.Phase != phase {
+		if r, _ := h.State().Rollout("plain"); r.TargetVersion != want || r.Phase != phase {
 			t.Fatalf("the last order is %+v, want %s %s", r, want, phase)
 		}
 	}
 	if status := order("v2"); status != 200 {
 		t.Fatalf("%d", status)
 	}
-	h.settleOrder(t, consensus.RolledBack)
+	h.settleOrder(t, consensus.PhaseRolledBack)
 	if status := order("v2"); status != 200 {
 		t.Fatalf("the same order again: %d", status)
 	}
-	last("v2", consensus.RolledBack)
+	last("v2", consensus.PhaseRolledBack)
 	if status := order("v3"); status != 200 {
 		t.Fatalf("the next order: %d", status)
 	}
@@ -316,12 +316,12 @@
 	if status := order("v4"); status != 409 {
 		t.Errorf("another order beside a running one: %d", status)
 	}
-	last("v3", consensus.Canary)
-	h.settleOrder(t, consensus.Completed)
+	last("v3", consensus.PhaseCanary)
+	h.settleOrder(t, consensus.PhaseCompleted)
 	if status := order("v2"); status != 200 {
 		t.Errorf("a late copy: %d", status)
 	}
-	last("v3", consensus.Completed)
+	last("v3", consensus.PhaseCompleted)
 	// Long after, it is a new order.
 	h.loop.Call(func() {
 		for slot := range h.rollouts.orderKnownAt {
@@ -331,7 +331,7 @@
 	if status := order("v2"); status != 200 {
 		t.Errorf("the order anew: %d", status)
 	}
-	last("v2", consensus.Canary)
+	last("v2", consensus.PhaseCanary)
 }
 
 // A node that is behind asks a majority before it refuses an order.
@@ -348,13 +348,13 @@
 	w.eventually("the first order", func() bool { status, _ := w.sendOrder(1, PathRollouts, anOrder, nil); return status == 200 })
 	w.eventually("both know it", func() bool { _, ok := two.State().Rollout("plain"); return ok })
 	old := two.State()
-	one.settleOrder(t, consensus.RolledBack)
+	one.settleOrder(t, consensus.PhaseRolledBack)
 	w.eventually("the end is known", func() bool { r, _ := two.State().Rollout("plain"); return !r.Running() })
 	two.loop.Call(func() { two.acceptor.State = old })
 	if status, _ := w.sendOrder(2, PathRollouts, strings.Replace(anOrder, "v2", "v3", 1), nil); status != 200 {
 		t.Errorf("an order where the node took the last one for running: %d", status)
 	}
-	if r, _ := two.State().Rollout("plain"); r.Target != "v3" {
+	if r, _ := two.State().Rollout("plain"); r.TargetVersion != "v3" {
 		t.Errorf("the last order is %+v", r)
 	}
 }
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -135,36 +135,36 @@
 }
 
 // handleCacheJoin makes a node one of the larders, which changes the parts of all of them.
-func (h *ControlServer) handleCacheJoin(l consensus.Larder) bool {
+func (h *ControlServer) handleCacheJoin(l consensus.CacheNode) bool {
 	if l.IP == "" {
 		return false
 	}
-	return h.changeCacheNodes(func(list []consensus.Larder) []consensus.Larder {
+	return h.changeCacheNodes(func(list []consensus.CacheNode) []consensus.CacheNode {
 		for _, x := range list {
 			if x.IP == l.IP {
 				return nil
 			}
 		}
-		return append(append([]consensus.Larder(nil), list...), l)
+		return append(append([]consensus.CacheNode(nil), list...), l)
 	})
 }
 
 // changeCacheNodes proposes another list; nil from change means that it is as wanted.
-func (h *ControlServer) changeCacheNodes(change func([]consensus.Larder) []consensus.Larder) bool {
+func (h *ControlServer) changeCacheNodes(change func([]consensus.CacheNode) []consensus.CacheNode) bool {
 	if !h.proposalLock.LockUrgent(h.host.Heartbeats(0.3)) {
 		return false
 	}
 	defer h.proposalLock.Unlock()
 	for try := 0; try < 4; try++ {
 		s := h.State()
-		if !s.Votes(h.acceptor.ID) {
+		if !s.IsVoter(h.acceptor.ID) {
 			return false
 		}
-		list := change(s.Larders)
+		list := change(s.CacheNodes)
 		if list == nil {
 			return true
 		}
-		if !h.propose(s, &consensus.Value{Larders: list, NoLarders: len(list) == 0}) {
+		if !h.propose(s, &consensus.Value{CacheNodes: list, NoCacheNodes: len(list) == 0}) {
 			h.backOff(try)
 		}
 	}
@@ -178,7 +178,7 @@
 	h.loop.Call(func() {
 		now := h.host.Now()
 		long := config.Seconds(h.host.Settings().Bounds.CatchUpS, 1)
-		for _, l := range h.acceptor.State.Larders {
+		for _, l := range h.acceptor.State.CacheNodes {
 			at := h.cacheNodeHeardAt[l.IP]
 			for _, f := range h.fronts {
 				if f.cacheNode && f.ip == l.IP {
@@ -204,8 +204,8 @@
 	if gone == nil {
 		return
 	}
-	ok := h.changeCacheNodes(func(list []consensus.Larder) []consensus.Larder {
-		left := []consensus.Larder{}
+	ok := h.changeCacheNodes(func(list []consensus.CacheNode) []consensus.CacheNode {
+		left := []consensus.CacheNode{}
 		for _, l := range list {
 			if !gone[l.IP] {
 				left = append(left, l)
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -18,7 +18,7 @@
 // BallotRecord is the acceptor's part that changes with every round. The body
 // of its value stands in Packed, on top of the one in force before the slot.
 type BallotRecord struct {
-	consensus.Ballots
+	consensus.BallotState
 	Packed []byte `json:",omitempty"`
 }
 
@@ -45,7 +45,7 @@
 // than are needed, so that the oldest is never cut while it counts.
 const (
 	takenPage  = 64
-	takenPages = consensus.TakenKept/takenPage + 1
+	takenPages = consensus.MaxAppliedChanges/takenPage + 1
 )
 
 // loadRecords reads all records into the values given; those that are not there stay.
@@ -66,10 +66,10 @@
 }
 
 // loadState reads what was decided, and what this voter said about the open slot.
-func loadState(cel *storage.Store, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
+func loadState(cel *storage.Store, most int) (s consensus.State, b consensus.BallotState, packed []byte, err error) {
 	var body BodyRecord
 	var rec BallotRecord
-	pages := make([][]consensus.Taken, takenPages)
+	pages := make([][]consensus.AppliedChange, takenPages)
 	records := map[string]any{recordState: &s, recordBody: &body, recordBallot: &rec}
 	for i := range pages {
 		records[fmt.Sprintf(recordTakenPage, i)] = &pages[i]
@@ -81,31 +81,31 @@
 		return s, b, nil, fmt.Errorf("record %s on disk is of version %d, not %d", recordBody, body.Version, s.Version)
 	}
 	s.Body = body.Body
-	s.Taken = slices.Concat(pages...)
-	slices.SortFunc(s.Taken, func(a, b consensus.Taken) int { return int(a.Slot - b.Slot) })
-	s.Taken = s.Taken[max(0, len(s.Taken)-consensus.TakenKept):]
-	if v := rec.Value; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
+	s.AppliedChanges = slices.Concat(pages...)
+	slices.SortFunc(s.AppliedChanges, func(a, b consensus.AppliedChange) int { return int(a.Slot - b.Slot) })
+	s.AppliedChanges = s.AppliedChanges[max(0, len(s.AppliedChanges)-consensus.MaxAppliedChanges):]
+	if v := rec.AcceptedValue; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
 		if v.Body, err = UnpackDelta(s.Body, rec.Packed, most); err != nil {
 			return s, b, nil, errors.New("record " + recordBallot + " on disk can't be read: " + err.Error())
 		}
 	}
-	return s, rec.Ballots, rec.Packed, nil
+	return s, rec.BallotState, rec.Packed, nil
 }
 
 // stateRecords gives the records of a state that changed since the one with
 // that version and count of taken changes.
 func stateRecords(s consensus.State, version, takenSeq int64) map[string][]byte {
 	small := s
-	small.Body, small.Taken = "", nil
+	small.Body, small.AppliedChanges = "", nil
 	records := map[string][]byte{recordState: Encode(recordState, small)}
 	if s.Version != version {
 		records[recordBody] = Encode(recordBody, BodyRecord{s.Version, s.Body})
 	}
-	first := s.TakenSeq - int64(len(s.Taken)) // of those before the ones held
-	for at := max(first, takenSeq) / takenPage; at*takenPage < s.TakenSeq; at++ {
-		from, to := max(at*takenPage, first), min((at+1)*takenPage, s.TakenSeq)
+	first := s.AppliedCount - int64(len(s.AppliedChanges)) // of those before the ones held
+	for at := max(first, takenSeq) / takenPage; at*takenPage < s.AppliedCount; at++ {
+		from, to := max(at*takenPage, first), min((at+1)*takenPage, s.AppliedCount)
 		name := fmt.Sprintf(recordTakenPage, at%takenPages)
-		records[name] = Encode(name, s.Taken[from-first:to-first])
+		records[name] = Encode(name, s.AppliedChanges[from-first:to-first])
 	}
 	return records
 }
@@ -115,11 +115,11 @@
 func (h *ControlServer) persistState() {
 	s := h.acceptor.State
 	version, seq := h.lastWrite.version, h.lastWrite.takenSeq
-	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.TakenSeq
+	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.AppliedCount
 	h.store.PutAll(stateRecords(s, version, seq), func(err error) {
 		h.loop.Submit(func() {
 			if err == nil {
-				h.acceptor.StateSynced(s.Slot)
+				h.acceptor.MarkStateDurable(s.Slot)
 				h.wakeDurabilityWaiters()
 				return
 			}
@@ -127,7 +127,7 @@
 			h.lastWrite.version, h.lastWrite.takenSeq = min(h.lastWrite.version, version), min(h.lastWrite.takenSeq, seq)
 			time.AfterFunc(h.host.Heartbeats(0.1), func() {
 				h.loop.Submit(func() {
-					if h.acceptor.StateKept() < h.acceptor.State.Slot {
+					if h.acceptor.DurableSlot() < h.acceptor.State.Slot {
 						h.persistState()
 					}
 				})
@@ -139,7 +139,7 @@
 // wakeDurabilityWaiters answers those that wait for the state to be on disk; it runs on the desk.
 func (h *ControlServer) wakeDurabilityWaiters() {
 	h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(w durabilityWaiter) bool {
-		if w.slot > h.acceptor.StateKept() {
+		if w.slot > h.acceptor.DurableSlot() {
 			return false
 		}
 		close(w.done)
@@ -157,7 +157,7 @@
 func (h *ControlServer) waitDurable() (slot int64) {
 	w := durabilityWaiter{done: make(chan struct{})}
 	h.loop.Call(func() {
-		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.StateKept() {
+		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.DurableSlot() {
 			close(w.done)
 			return
 		}
@@ -169,7 +169,7 @@
 	case <-h.host.Stopping:
 	}
 	h.loop.Call(func() {
-		slot = h.acceptor.StateKept()
+		slot = h.acceptor.DurableSlot()
 		h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(x durabilityWaiter) bool { return x.done == w.done })
 	})
 	return slot
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -51,7 +51,7 @@
 	st := &ControlStatus{Fronts: map[string]int64{}}
 	h.loop.Call(func() {
 		s, now := h.acceptor.State, h.host.Now()
-		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.Votes(h.acceptor.ID)
+		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.IsVoter(h.acceptor.ID)
 		var silent []time.Duration
 		for _, v := range s.Voters {
 			st.Voters = append(st.Voters, v.ID+"@"+v.IP)
@@ -60,9 +60,9 @@
 		if slices.Sort(silent); len(silent) > 0 {
 			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
 		}
-		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.StateKept(), s.VotersSlot
-		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.Accepted.String()
-		st.Resends, st.Changes = len(s.Taken), s.TakenSeq
+		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.DurableSlot(), s.VotersSlot
+		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.AcceptedBallot.String()
+		st.Resends, st.Changes = len(s.AppliedChanges), s.AppliedCount
 		for _, o := range h.peers {
 			if now-o.heardAt < h.host.Heartbeats(2) {
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
@@ -73,13 +73,13 @@
 			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
 		}
 		if h.table != nil {
-			st.Table, st.Searchers = h.table.Stamp, len(h.table.Searchers)
+			st.Table, st.Searchers = h.table.Stamp, len(h.table.Endpoints)
 		}
 		for name, f := range h.fronts {
 			st.Fronts[name] = f.slot
 		}
 		st.Purge = s.PurgeSeq
-		for _, l := range s.Larders {
+		for _, l := range s.CacheNodes {
 			st.Larders = append(st.Larders, l.Name+"@"+l.IP)
 		}
 	})
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -329,7 +329,9 @@
 		t.locatedControl.Store(true)
 		t.pickWatchTargets()
 		for _, h := range say.Huts {
-			t.host.ViewLoop.Submit(func() { t.host.View.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
+			t.host.ViewLoop.Submit(func() {
+				t.host.View.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, IsControl: true})
+			})
 		}
 	}
 	if say.Roster != nil {
@@ -506,7 +508,7 @@
 	}
 	t.frontend.Set(s)
 	if !t.host.Draining.Load() && t.ready.CompareAndSwap(false, true) {
-		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Searchers))
+		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Endpoints))
 	}
 }
 
@@ -625,7 +627,7 @@
 			st.Next = t.layouts.Next.Version
 		}
 		if t.table != nil {
-			st.Table, st.Searchers = t.table.Stamp, len(t.table.Searchers)
+			st.Table, st.Searchers = t.table.Stamp, len(t.table.Endpoints)
 		}
 		for _, s := range t.layouts.Current.Shards {
 			st.Slots[s] = t.layouts.Holders(s)
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -88,14 +88,14 @@
 func (h *ControlServer) watchResponse(m WatchRequest) (say WatchResponse, news bool) {
 	now := h.host.Now()
 	s := h.acceptor.State
-	say = WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.PurgeFloor()}
+	say = WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.CompactedPurgeSeq()}
 	say.Around, say.Here = h.frontsAround(m.Zone)
 	say.Lone = h.lacksMajority(now)
 	if m.Roster || m.Hello || s.Slot > m.Slot {
 		for _, v := range s.Voters {
 			say.Huts = append(say.Huts, ControlNode{v.IP, h.zoneOf(v.IP)})
 		}
-		say.Larders = s.Larders
+		say.Larders = s.CacheNodes
 	}
 	if m.Roster {
 		say.Roster = h.roster(now, m.Zone)
--- a/internal/membership/bivouac_test.go
+++ b/internal/membership/bivouac_test.go
@@ -55,7 +55,7 @@
 	for _, id := range ids {
 		x := Report{ID: id, Slot: 7}
 		if silent != "" {
-			x.Silent = []string{silent}
+			x.Suspected = []string{silent}
 		}
 		out = append(out, x)
 	}
@@ -100,7 +100,7 @@
 			t.Errorf("%s: %v, not %v", x.name, got, x.want)
 		}
 		next := consensus.State{Voters: voters}
-		if placed := got >= Rejoins; placed != next.Votes("n1") || x.out != "" && next.Votes(x.out) {
+		if placed := got >= Rejoins; placed != next.IsVoter("n1") || x.out != "" && next.IsVoter(x.out) {
 			t.Errorf("%s: %v", x.name, voters)
 		}
 	}
@@ -193,41 +193,41 @@
 	ballots := int64(0)
 	run := func(by string, own *consensus.Value, up ...string) *consensus.Proposer {
 		ballots++
-		p := consensus.NewProposer(acc[by].State, consensus.Ballot{N: ballots, By: by}, own)
-		for p.Stage <= consensus.Accepting {
+		p := consensus.NewProposer(acc[by].State, consensus.Ballot{Round: ballots, ProposerID: by}, own)
+		for p.Stage <= consensus.StageAccepting {
 			st := p.Stage
 			for _, id := range up {
-				say, _ := acc[id].Take(p.Ask())
-				p.Hear(st, say)
+				say, _ := acc[id].Handle(p.Request())
+				p.OnResponse(st, say)
 				if p.Stage != st {
 					break
 				}
 			}
 			if p.Stage == st {
-				p.Stage = consensus.Outbid
+				p.Stage = consensus.StageAborted
 			}
 		}
 		return p
 	}
 	set := func(ids ...string) *consensus.Value { return &consensus.Value{Voters: state(0, ids...).Voters} }
 	// c1 is cut off and replaced by m1; then b1 is cut off before it learns that, and replaced by n1.
-	if p := run("a1", set("a1", "b1", "m1"), "a1", "b1"); p.Stage != consensus.Chosen {
+	if p := run("a1", set("a1", "b1", "m1"), "a1", "b1"); p.Stage != consensus.StageChosen {
 		t.Fatal("the first change")
 	}
 	next := base.Apply(*set("a1", "b1", "m1"))
 	acc["a1"].Learn(next)
 	acc["m1"].Learn(next)
-	if p := run("a1", set("a1", "n1", "m1"), "a1", "m1"); p.Stage != consensus.Chosen {
+	if p := run("a1", set("a1", "n1", "m1"), "a1", "m1"); p.Stage != consensus.StageChosen {
 		t.Fatal("the second change")
 	}
 	// Both old ones are back, without the others.
 	p := run("c1", &consensus.Value{Version: 9}, "c1", "b1")
-	if p.Stage == consensus.Chosen && !p.Value.Equal(*set("a1", "b1", "m1")) {
+	if p.Stage == consensus.StageChosen && !p.Value.Equal(*set("a1", "b1", "m1")) {
 		t.Fatalf("two old votes chose %+v", p.Value)
 	}
 	acc["c1"].Learn(next)
 	acc["b1"].Learn(next)
-	if p := run("c1", &consensus.Value{Version: 9}, "c1", "b1"); p.Stage == consensus.Chosen {
+	if p := run("c1", &consensus.Value{Version: 9}, "c1", "b1"); p.Stage == consensus.StageChosen {
 		t.Fatal("one without a vote and an old one chose something")
 	}
 }
@@ -258,16 +258,16 @@
 func TestHanded(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		p    HandoffProgress
+		p    DrainProgress
 		want bool
 	}{
-		{"nobody stays", HandoffProgress{ToleratedFailures: 1, IsVoter: true}, true},
-		{"on one of two disks", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 1, TableReplicas: 2}, false},
-		{"the table is missing", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 1}, false},
-		{"an outcome is open", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, ProposalPending: true}, false},
-		{"a successor could vote", HandoffProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, IsVoter: true, StandbyAvailable: true}, false},
-		{"it votes no more", HandoffProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, StandbyAvailable: true}, true},
-		{"nobody could follow", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, IsVoter: true}, true},
+		{"nobody stays", DrainProgress{ToleratedFailures: 1, IsVoter: true}, true},
+		{"on one of two disks", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 1, TableReplicas: 2}, false},
+		{"the table is missing", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 1}, false},
+		{"an outcome is open", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, ProposalPending: true}, false},
+		{"a successor could vote", DrainProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, IsVoter: true, StandbyAvailable: true}, false},
+		{"it votes no more", DrainProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, StandbyAvailable: true}, true},
+		{"nobody could follow", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, IsVoter: true}, true},
 	} {
 		if x.p.Complete() != x.want {
 			t.Errorf("%s: %v", x.name, !x.want)
--- a/internal/membership/place.go
+++ b/internal/membership/place.go
@@ -12,8 +12,8 @@
 	Slot int64
 	// Leaving: it ends in order.
 	Leaving bool `json:",omitempty"`
-	// Silent are the voters that it has not heard for long.
-	Silent []string `json:",omitempty"`
+	// Suspected are the voters that it has not heard for long.
+	Suspected []string `json:",omitempty"`
 }
 
 // Admission is a newcomer that asks for a vote, and what its judge found out.
@@ -67,7 +67,7 @@
 	said := map[string]Report{}
 	ahead := false
 	for _, s := range c.VoterReports {
-		if c.Base.Votes(s.ID) {
+		if c.Base.IsVoter(s.ID) {
 			said[s.ID] = s
 			ahead = ahead || s.Slot > c.Base.Slot
 		}
@@ -75,7 +75,7 @@
 	own, judges := said[c.Self]
 	majority := len(c.Base.Voters)/2 + 1
 	switch {
-	case c.Base.Votes(c.Newcomer.ID):
+	case c.Base.IsVoter(c.Newcomer.ID):
 		return nil, AlreadyVoter
 	case !judges || own.Leaving:
 		return nil, EvaluatorIneligible
@@ -110,12 +110,12 @@
 		return l, ReplacesLeaving
 	}
 	if l := at(func(x consensus.Voter) bool {
-		if _, answers := said[x.ID]; answers || !slices.Contains(own.Silent, x.ID) {
+		if _, answers := said[x.ID]; answers || !slices.Contains(own.Suspected, x.ID) {
 			return false
 		}
 		n := 0
 		for _, s := range said {
-			if slices.Contains(s.Silent, x.ID) {
+			if slices.Contains(s.Suspected, x.ID) {
 				n++
 			}
 		}
@@ -139,8 +139,8 @@
 	return sure >= min(losses+1, voters-leaving)
 }
 
-// HandoffProgress is how a leaving node stands.
-type HandoffProgress struct {
+// DrainProgress is how a leaving node stands.
+type DrainProgress struct {
 	// ProposalPending: it accepted a value whose outcome it does not know.
 	ProposalPending bool
 	// IsVoter: it is a voter. Standby: a node that stays could take its place.
@@ -152,7 +152,7 @@
 }
 
 // Complete tells whether everything that the node holds is where it may go.
-func (p HandoffProgress) Complete() bool {
+func (p DrainProgress) Complete() bool {
 	need := min(p.ToleratedFailures+1, p.StayingNodes)
 	return !p.ProposalPending && p.StateReplicas >= need && p.TableReplicas >= need && !(p.IsVoter && p.StandbyAvailable)
 }
--- a/internal/peersampling/waymark.go
+++ b/internal/peersampling/waymark.go
@@ -10,9 +10,9 @@
 	Name string
 	IP   string
 	Zone string
-	// Hut tells whether the node keeps state.
-	Hut bool `json:",omitempty"`
-	Age int
+	// IsControl tells whether the node keeps state.
+	IsControl bool `json:",omitempty"`
+	Age       int
 }
 
 // View is a partial view of the nodes.
@@ -36,7 +36,7 @@
 	sort.SliceStable(l, func(i, j int) bool { return l[i].Age < l[j].Age })
 	var out []string
 	for _, n := range l {
-		if n.Hut {
+		if n.IsControl {
 			out = append(out, n.IP)
 		}
 	}
--- a/internal/peersampling/waymark_test.go
+++ b/internal/peersampling/waymark_test.go
@@ -12,8 +12,8 @@
 	for i := 0; i < 12; i++ {
 		ip := fmt.Sprintf("10.0.0.%d", i)
 		ips = append(ips, ip)
-		views[ip] = NewView(Node{Name: ip, IP: ip, Hut: i < 3}, 6, 3)
-		views[ip].Add(Node{Name: "seed", IP: "10.0.0.0", Hut: true})
+		views[ip] = NewView(Node{Name: ip, IP: ip, IsControl: i < 3}, 6, 3)
+		views[ip].Add(Node{Name: "seed", IP: "10.0.0.0", IsControl: true})
 	}
 	round := func(dead string) {
 		for _, ip := range ips {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -100,7 +100,7 @@
 	hdr := map[string]string{}
 	out.Header.VisitAll(func(k, v []byte) { hdr[string(k)] = string(v) })
 	rep.Header = func(name string) string { return hdr[name] }
-	if out.ConnectionClose() || cn.HasSurplus() {
+	if out.ConnectionClose() || cn.HasUnsolicited() {
 		cn.Close()
 	} else {
 		c.put(addr, cn, time.Now())
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -190,8 +190,8 @@
 	return true, nil
 }
 
-// HasSurplus tells whether more bytes came than the answer holds.
-func (c *Conn) HasSurplus() bool { return c.in.Len() > 0 }
+// HasUnsolicited tells whether more bytes came than the answer holds.
+func (c *Conn) HasUnsolicited() bool { return c.in.Len() > 0 }
 
 // Reusable tells whether a kept connection is still open with nothing to read.
 func (c *Conn) Reusable() bool {
