--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -70,7 +70,9 @@
 
 // itemName reads the name of a route or service.
 func itemName(item json.RawMessage) (string, error) {
-	var named struct{ Name string }
+	var named struct {
+		Name string `json:"Name"`
+	}
 	err := json.Unmarshal(item, &named)
 	return named.Name, err
 }
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -7,16 +7,15 @@
 	"slices"
 )
 
-// Patch is an operator's change to named items of a configuration, with the
-// keys of its JSON form. It is a merge patch at the level of items: an item
+// Patch is an operator's change to named items of a configuration. It is a merge patch at the level of items: an item
 // replaces the one of its name as a whole.
 type Patch struct {
 	// Version is that of the configuration after the patch.
-	Version int64
+	Version int64 `json:"Version"`
 	// SetItems and RemoveNames hold items and names for each list of the
 	// configuration. An item that is both set and removed is removed.
-	SetItems    map[string][]json.RawMessage
-	RemoveNames map[string][]string
+	SetItems    map[string][]json.RawMessage `json:"SetItems"`
+	RemoveNames map[string][]string          `json:"RemoveNames"`
 }
 
 // ParsePatch reads a patch and validates what can be validated without the
--- a/internal/config/purge.go
+++ b/internal/config/purge.go
@@ -5,13 +5,19 @@
 // PurgeRequest is an operator's order to drop cached objects: either those of
 // a host and path, or those that bear a tag. The other fields are empty.
 type PurgeRequest struct {
-	HostName, Path, Tag string
+	HostName string `json:"HostName"`
+	Path     string `json:"Path"`
+	Tag      string `json:"Tag"`
 }
 
 // ParsePurgeRequest reads and validates a purge.
 func ParsePurgeRequest(raw []byte) (PurgeRequest, error) {
 	// Pointers tell a key that is missing from one that is empty.
-	var p struct{ HostName, Path, Tag *string }
+	var p struct {
+		HostName *string `json:"HostName"`
+		Path     *string `json:"Path"`
+		Tag      *string `json:"Tag"`
+	}
 	if err := decodeSingle(raw, &p, "a purge", "the purge"); err != nil {
 		return PurgeRequest{}, err
 	}
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -15,9 +15,10 @@
 // RolloutRequest is an operator's order to move the requests for a service to
 // endpoints of another software version, step by step.
 type RolloutRequest struct {
-	Service, TargetVersion string
+	Service       string `json:"Service"`
+	TargetVersion string `json:"TargetVersion"`
 	// DurationS is the time in seconds over which the steps are spread.
-	DurationS float64
+	DurationS float64 `json:"DurationS"`
 }
 
 // ParseRolloutRequest reads a rollout and validates what can be validated
@@ -25,8 +26,9 @@
 func ParseRolloutRequest(raw []byte) (RolloutRequest, error) {
 	// Pointers tell a key that is missing from one that is empty.
 	var r struct {
-		Service, TargetVersion *string
-		DurationS              *float64
+		Service       *string  `json:"Service"`
+		TargetVersion *string  `json:"TargetVersion"`
+		DurationS     *float64 `json:"DurationS"`
 	}
 	if err := decodeSingle(raw, &r, "an order of a rollout", "the order"); err != nil {
 		return RolloutRequest{}, err
--- /dev/null
+++ b/internal/endpoints/delta_test.go
@@ -0,0 +1,93 @@
+package endpoints
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+)
+
+// Flags that change travel as numbers alone, and a delta applies to the table
+// that it was computed from and to no other.
+func TestDiff(t *testing.T) {
+	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e", Cold: true}, {ID: "f"}}, Stamp{Epoch: 1, Seq: 1})
+	b, _ := NextTable(a, []Endpoint{{ID: "a"}, {ID: "c", Drains: true}, {ID: "d"}, {ID: "e"}, {ID: "f", Cold: true}}, Stamp{Epoch: 1, Seq: 2})
+	d := Diff(a, b)
+	if len(d.Set) != 2 || len(d.Gone) != 1 || len(d.Drains) != 1 || len(d.Warm) != 1 {
+		t.Fatalf("%+v", d)
+	}
+	if got := a.Apply(d); !reflect.DeepEqual(got, b) {
+		t.Fatalf("%+v", got)
+	}
+	if b.Apply(d) != nil || (*Table)(nil).Apply(d) != nil {
+		t.Fatal("a delta was applied to another table")
+	}
+}
+
+func TestApplySnapshot(t *testing.T) {
+	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}}, Stamp{Epoch: 1, Seq: 1})
+	b, _ := NextTable(nil, []Endpoint{{ID: "c", Service: "s", Version: "v1"}}, Stamp{Epoch: 2, Seq: 1})
+	snapshot := Diff(nil, b)
+	for name, base := range map[string]*Table{"no table": nil, "another table": a, "the same table": b} {
+		t.Run(name, func(t *testing.T) {
+			if got := base.Apply(snapshot); !reflect.DeepEqual(got, b) {
+				t.Errorf("got %+v", got)
+			}
+		})
+	}
+}
+
+// Between any two tables of a history, the delta leads from the older to the
+// newer one.
+func TestDiffRoundTrip(t *testing.T) {
+	for seed := range uint64(100) {
+		history := randomHistory(rand.New(rand.NewPCG(seed, 0)), 8)
+		for i, from := range history {
+			for _, to := range history[i:] {
+				if from == nil && to == nil {
+					continue
+				}
+				if got := from.Apply(Diff(from, to)); !reflect.DeepEqual(got, to) {
+					t.Fatalf("seed %d:\nfrom %+v\nto   %+v\ngot  %+v", seed, from, to, got)
+				}
+			}
+		}
+	}
+}
+
+// randomHistory returns tables that were made one of another, after a nil for
+// the time before the first. Endpoints come, end their slow start, move, drain
+// and go.
+func randomHistory(random *rand.Rand, length int) []*Table {
+	history := []*Table{nil}
+	var listed []Endpoint
+	for step := range length {
+		var next []Endpoint
+		for _, e := range listed {
+			switch random.IntN(6) {
+			case 0:
+				continue
+			case 1:
+				e.Drains = true
+			case 2:
+				e.Cold = false
+			case 3:
+				e.Addr = fmt.Sprint("10.0.0.", step, ":80")
+			}
+			next = append(next, e)
+		}
+		for i := range random.IntN(4) {
+			next = append(next, Endpoint{
+				ID:      fmt.Sprintf("i-%d-%d-%d", random.IntN(100), step, i),
+				Service: fmt.Sprint("s", random.IntN(3)),
+				Version: fmt.Sprint("v", random.IntN(3)),
+				Cold:    random.IntN(2) == 0,
+			})
+		}
+		random.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
+		listed = next
+		table, _ := NextTable(history[step], listed, Stamp{Epoch: 1, By: "a", Seq: int64(step) + 1})
+		history = append(history, table)
+	}
+	return history
+}
--- /dev/null
+++ b/internal/endpoints/table.go
@@ -0,0 +1,121 @@
+package endpoints
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// Endpoint is one instance of a service. It is comparable: two endpoints are
+// equal if nothing about them changed.
+type Endpoint struct {
+	// ID is the platform's name of the instance, unique at any time.
+	ID      string `json:"ID"`
+	Service string `json:"Service"`
+	// Addr is its IP and port.
+	Addr string `json:"Addr"`
+	Zone string `json:"Zone"`
+	// Version is the version of its software.
+	Version string `json:"Version,omitempty"`
+	// Slots is the number of requests that it runs at the same time.
+	Slots int `json:"Slots,omitempty"`
+	// Drains: it shuts down gracefully and gets no new requests.
+	Drains bool `json:"Drains,omitempty"`
+	// Cold: it is in slow start.
+	Cold bool `json:"Cold,omitempty"`
+	// Entry numbers the endpoints in the order in which they were first listed.
+	// No number is given twice. It stands for the endpoint in deltas and
+	// messages, and earlier endpoints are preferred for slots.
+	Entry int64 `json:"Entry"`
+}
+
+// Table is the list of endpoints, sorted by ID, under its stamp. It is
+// immutable once made.
+type Table struct {
+	Stamp Stamp `json:"Stamp"`
+	// NextEntry is the number that the next new endpoint gets.
+	NextEntry int64      `json:"NextEntry"`
+	Searchers []Endpoint `json:"Searchers"`
+	// First is the software version that each service had when it was first
+	// listed. It stays in force until a rollout replaces it.
+	First map[string]string `json:"First,omitempty"`
+}
+
+// Merge returns the newer of two tables, either of which may be nil. It is
+// commutative, associative and idempotent.
+func Merge(a, b *Table) *Table {
+	switch {
+	case a == nil:
+		return b
+	case b == nil || !a.Stamp.Before(b.Stamp):
+		return a
+	}
+	return b
+}
+
+// NextTable makes the table that follows old, which may be nil, of a listing
+// by the platform. Endpoints that are known keep their number, new ones get
+// the next numbers in the order of their IDs. It also reports whether anything
+// but the stamp changed.
+func NextTable(old *Table, list []Endpoint, stamp Stamp) (*Table, bool) {
+	if old == nil {
+		t := &Table{Stamp: stamp, NextEntry: 1, First: map[string]string{}}
+		t.addListed(nil, list)
+		return t, true
+	}
+	t := &Table{Stamp: stamp, NextEntry: old.NextEntry, First: maps.Clone(old.First)}
+	if t.First == nil {
+		t.First = map[string]string{}
+	}
+	t.addListed(old.Searchers, list)
+	return t, !slices.Equal(t.Searchers, old.Searchers)
+}
+
+// addListed fills the table with the listed endpoints. old are the endpoints
+// of the table before.
+func (t *Table) addListed(old, list []Endpoint) {
+	known := make(map[string]Endpoint, len(old))
+	for _, e := range old {
+		known[e.ID] = e
+	}
+	t.Searchers = append(t.Searchers, list...)
+	sortByID(t.Searchers)
+	for i := range t.Searchers {
+		e := &t.Searchers[i]
+		if before, ok := known[e.ID]; ok {
+			e.Entry = before.Entry
+			// The list lags and may show an endpoint as ready again, but one
+			// that drains never comes back.
+			e.Drains = e.Drains || before.Drains
+			continue
+		}
+		e.Entry = t.NextEntry
+		t.NextEntry++
+	}
+	t.recordFirstVersions()
+}
+
+// recordFirstVersions notes the version of every service that was never listed
+// before. Where its endpoints differ, it is the version of most of them, and
+// of those that tie the lowest.
+func (t *Table) recordFirstVersions() {
+	counts := map[string]map[string]int{}
+	for _, e := range t.Searchers {
+		if e.Version == "" || t.First[e.Service] != "" {
+			continue
+		}
+		if counts[e.Service] == nil {
+			counts[e.Service] = map[string]int{}
+		}
+		counts[e.Service][e.Version]++
+	}
+	for service, byVersion := range counts {
+		t.First[service] = slices.MinFunc(slices.Collect(maps.Keys(byVersion)), func(a, b string) int {
+			return cmp.Or(cmp.Compare(byVersion[b], byVersion[a]), cmp.Compare(a, b))
+		})
+	}
+}
+
+func sortByID(list []Endpoint) {
+	slices.SortFunc(list, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+}
