--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// epochsPerSet is how many epochs one set of voters can grant. The set's slot
+// epochsPerVoterSet is how many epochs one set of voters can grant. The set's slot
 // is the epoch's upper part, so that whatever an earlier set granted is lower,
 // also where the voters that knew it are gone.
-const epochsPerSet = 1 << 24
+const epochsPerVoterSet = 1 << 24
 
-func firstEpoch(votersSlot int64) int64 { return votersSlot*epochsPerSet + 1 }
+func firstEpoch(votersSlot int64) int64 { return votersSlot*epochsPerVoterSet + 1 }
 
-func setOf(epoch int64) int64 { return epoch / epochsPerSet }
+func votersSlotOf(epoch int64) int64 { return epoch / epochsPerVoterSet }
 
 // Record is what a voter keeps on disk of a duty: the highest epoch that it
 // granted, and to which life of which holder.
@@ -46,100 +46,150 @@
 	VotersSlot int64
 }
 
-// Voter is one voter's part: what it granted of each duty. A lease runs by
-// its own steady clock and is in memory only.
+// Voter grants the leases of the singleton roles as one of the voters. The
+// records of what it granted are durable; the times at which leases expire are
+// in memory only, on its own monotonic clock.
+//
+// It is a pure state machine without locks: the caller makes one call at a
+// time, writes Records to disk and reports that with MarkDurable.
 type Voter struct {
-	self       string
-	lease      time.Duration
-	votersSlot int64
-	votes      bool
-	unsettled  bool
-	// began is the start of this life: what an earlier one renewed is forgotten.
-	began time.Duration
-	// mute, until then, it grants nothing new: leases may run that it never heard of.
-	mute    time.Duration
-	records map[string]Record
-	until   map[string]time.Duration
-	// written and kept number the writes of the records.
-	written, kept int64
+	self          string
+	leaseDuration time.Duration
+
+	// votersSlot is the log slot that decided the voters that this one knows,
+	// and isVoter whether it is among them. While reconfigurationPending, it has
+	// accepted other voters without knowing whether they were chosen.
+	votersSlot             int64
+	isVoter                bool
+	reconfigurationPending bool
+
+	// startedAt is the start of this life of the process. The expiry of what an
+	// earlier life granted or renewed is not known.
+	startedAt time.Duration
+	// blockedUntil is the time before which it grants no new request, since
+	// leases may run that it never heard of.
+	blockedUntil time.Duration
+
+	// records and expiresAt are kept by role.
+	records   map[string]Record
+	expiresAt map[string]time.Duration
+
+	// lastWrite numbers the changes of the records; those up to durableWrite
+	// are on disk.
+	lastWrite    int64
+	durableWrite int64
 }
 
-// NewVoter makes a voter from what is on its disk.
-func NewVoter(self string, lease time.Duration, records map[string]Record, votersSlot int64, votes bool, now time.Duration) *Voter {
-	v := &Voter{self: self, lease: lease, votersSlot: votersSlot, votes: votes, began: now, mute: now, records: maps.Clone(records), until: map[string]time.Duration{}}
+// NewVoter makes a voter that starts at now from the records on its disk and
+// the newest voters that it knows.
+func NewVoter(self string, leaseDuration time.Duration, records map[string]Record, votersSlot int64, isVoter bool, now time.Duration) *Voter {
+	v := &Voter{
+		self:          self,
+		leaseDuration: leaseDuration,
+		votersSlot:    votersSlot,
+		isVoter:       isVoter,
+		startedAt:     now,
+		blockedUntil:  now,
+		records:       maps.Clone(records),
+		expiresAt:     map[string]time.Duration{},
+	}
 	if v.records == nil {
 		v.records = map[string]Record{}
 	}
 	return v
 }
 
-// SetVoters follows the agreed voters. next: no other set lay between the one
-// known before and this one. A voter that is new among them, or may have been
-// out in between, is mute for a whole lease.
-func (v *Voter) SetVoters(votersSlot int64, votes, next bool, now time.Duration) {
+// SetVoters follows a change of the voters; consecutive tells that no other
+// set lay between the one known before and this one. A node that was no voter
+// before, or that may have been none in between, grants nothing new for a
+// whole lease duration: it does not know which leases run.
+func (v *Voter) SetVoters(votersSlot int64, isVoter, consecutive bool, now time.Duration) {
 	if votersSlot <= v.votersSlot {
 		return
 	}
-	if votes && !(v.votes && next) {
-		v.mute = now + v.lease
+	knowsLeases := v.isVoter && consecutive
+	if isVoter && !knowsLeases {
+		v.blockedUntil = now + v.leaseDuration
 	}
-	v.votersSlot, v.votes = votersSlot, votes
+	v.votersSlot, v.isVoter = votersSlot, isVoter
 }
 
-// SetReconfigurationPending notes whether this voter accepted other voters for the open slot.
-// Until it knows the outcome it grants and renews nothing: the others may be
-// in force already.
-func (v *Voter) SetReconfigurationPending(on bool) { v.unsettled = on }
-
-// Records are what must be on disk, and the number of that write.
-func (v *Voter) Records() (map[string]Record, int64) { return maps.Clone(v.records), v.written }
+// SetReconfigurationPending tells whether this voter accepted other voters for
+// the open log slot. While it does not know the outcome it grants and renews
+// nothing, since the other voters may be in force already.
+func (v *Voter) SetReconfigurationPending(pending bool) { v.reconfigurationPending = pending }
 
-// MarkDurable notes that the write of that number is on disk.
-func (v *Voter) MarkDurable(write int64) { v.kept = max(v.kept, write) }
+// Records are what must be on disk, by role, and the number of that write.
+func (v *Voter) Records() (records map[string]Record, write int64) {
+	return maps.Clone(v.records), v.lastWrite
+}
 
-// HandleRequest answers a bid. Where write is above 0, the answer leaves only once the
-// records are on disk.
-func (v *Voter) HandleRequest(b Request, now time.Duration) (g Response, write int64) {
-	rec := v.records[b.Duty]
-	g = Response{Voter: v.self, Record: rec, VotersSlot: v.votersSlot}
-	if !v.votes || v.unsettled || b.VotersSlot != v.votersSlot || setOf(b.Epoch) != b.VotersSlot {
-		return g, 0
+// MarkDurable records that the write of that number is on disk.
+func (v *Voter) MarkDurable(write int64) { v.durableWrite = max(v.durableWrite, write) }
+
+// HandleRequest answers a request. Where write is above 0, the response may
+// leave only once the write of that number is on disk: a voter that forgot a
+// grant could grant its epoch a second time.
+func (v *Voter) HandleRequest(r Request, now time.Duration) (response Response, write int64) {
+	record := v.records[r.Duty]
+	response = Response{Voter: v.self, Record: record, VotersSlot: v.votersSlot}
+	if !v.accepts(r) {
+		return response, 0
 	}
-	if b.record() != rec {
-		if !v.free(b, rec, now) {
-			return g, 0
+	if r.record() != record {
+		if !v.mayGrant(r, record, now) {
+			return response, 0
 		}
-		v.records[b.Duty] = b.record()
-		v.written++
+		v.records[r.Duty] = r.record()
+		v.lastWrite++
 	}
-	v.until[b.Duty] = now + v.lease
-	g.OK, g.Record = true, b.record()
-	if v.kept < v.written {
-		write = v.written
+	v.expiresAt[r.Duty] = now + v.leaseDuration
+	response.OK, response.Record = true, r.record()
+	if v.durableWrite < v.lastWrite {
+		write = v.lastWrite
 	}
-	return g, write
+	return response, write
+}
+
+// accepts tells whether the request is for the set of voters in force, as far
+// as this voter knows, and this voter is one of them.
+func (v *Voter) accepts(r Request) bool {
+	return v.isVoter && !v.reconfigurationPending && r.VotersSlot == v.votersSlot && votersSlotOf(r.Epoch) == r.VotersSlot
 }
 
-// free tells whether a new epoch may be granted.
-func (v *Voter) free(b Request, rec Record, now time.Duration) bool {
-	same := b.Holder == rec.Holder
+// mayGrant tells whether a request other than the recorded one may be granted.
+func (v *Voter) mayGrant(r Request, record Record, now time.Duration) bool {
+	sameHolder := r.Holder == record.Holder
 	switch {
-	case b.Epoch <= rec.Epoch, same && b.Life < rec.Life, now < v.mute:
+	case r.Epoch <= record.Epoch:
 		return false
-	case !same && now < v.until[b.Duty]:
+	case sameHolder && r.Life < record.Life:
 		return false
-	case now < v.began+v.lease:
-		// The record names the only holder whose lease may rest on this voter,
-		// if it was granted by this set. Without any since the first set,
-		// nothing was ever granted.
-		return same && setOf(rec.Epoch) == v.votersSlot || rec.Epoch == 0 && v.votersSlot == 0
+	case now < v.blockedUntil:
+		return false
+	case !sameHolder && now < v.expiresAt[r.Duty]:
+		return false
+	case now < v.startedAt+v.leaseDuration:
+		return v.mayGrantAfterStart(record, sameHolder)
 	}
 	return true
 }
 
-// HandleRelease ends the lease of that bid before its time.
-func (v *Voter) HandleRelease(b Request, now time.Duration) {
-	if v.records[b.Duty] == b.record() {
-		v.until[b.Duty] = now
+// mayGrantAfterStart tells whether a request may be granted before a lease
+// duration has passed since the start. The record names the only holder whose
+// lease may rest on this voter, if this set of voters granted it. Where there
+// is no record and no other set of voters before, nothing was ever granted.
+func (v *Voter) mayGrantAfterStart(record Record, sameHolder bool) bool {
+	if sameHolder && votersSlotOf(record.Epoch) == v.votersSlot {
+		return true
+	}
+	return record.Epoch == 0 && v.votersSlot == 0
+}
+
+// HandleRelease ends the lease of that request before it expires. A release
+// that arrives after another request was granted has no effect.
+func (v *Voter) HandleRelease(r Request, now time.Duration) {
+	if v.records[r.Duty] == r.record() {
+		v.expiresAt[r.Duty] = now
 	}
 }
