--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -505,7 +505,7 @@
 
 // handOffAll brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *ControlServer) handOffAll(until time.Time) (p membership.HandoffProgress) {
+func (h *ControlServer) handOffAll(until time.Time) (p membership.DrainProgress) {
 	finish := make(chan struct{}, 1)
 	for {
 		var s consensus.State
@@ -513,7 +513,7 @@
 		var mine Heartbeat
 		h.loop.Call(func() {
 			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
-			p = membership.HandoffProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.Votes(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
+			p = membership.DrainProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.Votes(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
 		})
 		if p.ProposalPending {
 			select {
--- a/internal/membership/bivouac_test.go
+++ b/internal/membership/bivouac_test.go
@@ -258,16 +258,16 @@
 func TestHanded(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		p    HandoffProgress
+		p    DrainProgress
 		want bool
 	}{
-		{"nobody stays", HandoffProgress{ToleratedFailures: 1, IsVoter: true}, true},
-		{"on one of two disks", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 1, TableReplicas: 2}, false},
-		{"the table is missing", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 1}, false},
-		{"an outcome is open", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, ProposalPending: true}, false},
-		{"a successor could vote", HandoffProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, IsVoter: true, StandbyAvailable: true}, false},
-		{"it votes no more", HandoffProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, StandbyAvailable: true}, true},
-		{"nobody could follow", HandoffProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, IsVoter: true}, true},
+		{"nobody stays", DrainProgress{ToleratedFailures: 1, IsVoter: true}, true},
+		{"on one of two disks", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 1, TableReplicas: 2}, false},
+		{"the table is missing", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 1}, false},
+		{"an outcome is open", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, ProposalPending: true}, false},
+		{"a successor could vote", DrainProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, IsVoter: true, StandbyAvailable: true}, false},
+		{"it votes no more", DrainProgress{ToleratedFailures: 1, StayingNodes: 3, StateReplicas: 2, TableReplicas: 2, StandbyAvailable: true}, true},
+		{"nobody could follow", DrainProgress{ToleratedFailures: 1, StayingNodes: 2, StateReplicas: 2, TableReplicas: 2, IsVoter: true}, true},
 	} {
 		if x.p.Complete() != x.want {
 			t.Errorf("%s: %v", x.name, !x.want)
--- a/internal/membership/place.go
+++ b/internal/membership/place.go
@@ -139,8 +139,8 @@
 	return sure >= min(losses+1, voters-leaving)
 }
 
-// HandoffProgress is how a leaving node stands.
-type HandoffProgress struct {
+// DrainProgress is how a leaving node stands.
+type DrainProgress struct {
 	// ProposalPending: it accepted a value whose outcome it does not know.
 	ProposalPending bool
 	// IsVoter: it is a voter. Standby: a node that stays could take its place.
@@ -152,7 +152,7 @@
 }
 
 // Complete tells whether everything that the node holds is where it may go.
-func (p HandoffProgress) Complete() bool {
+func (p DrainProgress) Complete() bool {
 	need := min(p.ToleratedFailures+1, p.StayingNodes)
 	return !p.ProposalPending && p.StateReplicas >= need && p.TableReplicas >= need && !(p.IsVoter && p.StandbyAvailable)
 }
