--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,14 +1,14 @@
 package consensus
 
-// Ask is a proposer's message: Prepare without a Value, Accept with one.
-type Ask struct {
+// Request is a proposer's message: Prepare without a Value, Accept with one.
+type Request struct {
 	Slot   int64
 	Ballot Ballot
 	Value  *Value `json:",omitempty"`
 }
 
-// Say is an acceptor's reply.
-type Say struct {
+// Response is an acceptor's reply.
+type Response struct {
 	ID string
 	// Slot is the last slot that the acceptor knows as decided.
 	Slot int64
@@ -33,15 +33,15 @@
 	Value    *Value `json:",omitempty"`
 }
 
-// Take answers an Ask; changed tells whether the acceptor must be written first.
-func (a *Acceptor) Take(m Ask) (say Say, changed bool) {
-	say = Say{ID: a.ID, Slot: a.State.Slot}
+// Handle answers an Ask; changed tells whether the acceptor must be written first.
+func (a *Acceptor) Handle(m Request) (say Response, changed bool) {
+	say = Response{ID: a.ID, Slot: a.State.Slot}
 	if m.Slot <= a.State.Slot {
 		st := a.State
 		say.Ahead = &st
 		return say, false
 	}
-	if m.Slot > a.State.Slot+1 || !a.State.Votes(a.ID) {
+	if m.Slot > a.State.Slot+1 || !a.State.IsVoter(a.ID) {
 		// Whoever lacks the state before the slot, or has no vote on it, says
 		// nothing: least of all a node that knows no state, to which slot 1
 		// seems to be the next.
--- a/internal/consensus/model_checks_test.go
+++ b/internal/consensus/model_checks_test.go
@@ -33,7 +33,7 @@
 	s = was.Apply(v)
 	m.decided, m.values = append(m.decided, s), append(m.values, v)
 	bases := map[int64]bool{}
-	calls := map[Taken]bool{}
+	calls := map[AppliedChange]bool{}
 	for _, t := range s.Taken {
 		if bases[t.Base] {
 			m.broken("two changes on base %d are in force: %s", t.Base, stateText(s))
@@ -75,7 +75,7 @@
 		}
 		m.floor = max(m.floor, o.got)
 	case o.kind == "put" && code == 200:
-		if !top.Has(o.v.Version, o.v.Base, o.v.Sent) {
+		if !top.HasApplied(o.v.Version, o.v.Base, o.v.Sent) {
 			m.broken("call %d was acknowledged, but is not in force: %s", op, valueText(o.v))
 		}
 		if !m.wasAcked(o.v) {
@@ -136,7 +136,7 @@
 			return true
 		}
 		for _, r := range o.rounds {
-			if r.base.Slot+1 == slot && (r.prop != nil && lost(r.prop.own) || r.ask[1] != nil && lost(r.ask[1].Value)) {
+			if r.base.Slot+1 == slot && (r.prop != nil && lost(r.prop.ownValue) || r.ask[1] != nil && lost(r.ask[1].Value)) {
 				return true
 			}
 		}
@@ -166,12 +166,12 @@
 		for range 2 {
 			for i := range m.machines {
 				for j := range m.machines {
-					k, from := &m.nodes[i].k, m.nodes[j].k.StateKept()
+					k, from := &m.nodes[i].k, m.nodes[j].k.DurableSlot()
 					if len(m.nodes[j].k.State.Voters) == 0 {
-						from = Nothing
+						from = NoSlot
 					}
 					if i != j && len(k.State.Voters) > 0 {
-						m.news(j, k.State.Since(min(from, k.State.Slot)))
+						m.news(j, k.State.DeltaSince(min(from, k.State.Slot)))
 					}
 				}
 			}
@@ -203,8 +203,8 @@
 						settle()
 					}
 				}
-				if r := o.rounds[j]; r.prop != nil && r.prop.Stage == Preparing {
-					r.prop.Stage = Outbid
+				if r := o.rounds[j]; r.prop != nil && r.prop.Stage == StagePreparing {
+					r.prop.Stage = StageAborted
 					m.ended(op, j)
 				}
 			}
@@ -242,7 +242,7 @@
 		code := 0
 		for try := 0; try < 4 && code != 200; try++ {
 			base, body := m.decided[len(m.decided)-1].Version, fmt.Sprintf("last-%s%d", machineName(i), try)
-			code = call(&modelOp{kind: "put", node: i, v: Value{Version: base + 1, Base: base, Body: body, Sent: Sum(body)}}).code
+			code = call(&modelOp{kind: "put", node: i, v: Value{Version: base + 1, Base: base, Body: body, Sent: Fingerprint(body)}}).code
 		}
 		if code != 200 {
 			m.broken("all are up, but a change at %s is answered %d", machineName(i), code)
@@ -389,7 +389,7 @@
 	for i := range m.machines {
 		n := &m.nodes[i]
 		f.yes(n.up, n.silent)
-		f.num(n.life, n.highest, int64(n.disks), n.asked, n.disk.life, n.disk.ballots.Slot, n.k.StateKept())
+		f.num(n.life, n.highest, int64(n.disks), n.asked, n.disk.life, n.disk.ballots.Slot, n.k.DurableSlot())
 		f.text(n.disk.id)
 		f.state(n.disk.state)
 		f.ballot(n.disk.ballots.Promised)
@@ -399,13 +399,13 @@
 		f.ballot(n.k.Promised)
 		f.ballot(n.k.Accepted)
 		f.value(n.k.Value)
-		f.num(n.k.mark-n.k.kept, int64(len(n.queue)))
+		f.num(n.k.writeSeq-n.k.durableSeq, int64(len(n.queue)))
 		for _, w := range n.queue {
 			if w.state != nil {
 				f.state(*w.state)
 				continue
 			}
-			f.num(-2, w.mark-n.k.kept, w.ballots.Slot, int64(len(w.says)))
+			f.num(-2, w.mark-n.k.durableSeq, w.ballots.Slot, int64(len(w.says)))
 			f.ballot(w.ballots.Promised)
 			f.ballot(w.ballots.Accepted)
 			f.value(w.ballots.Value)
@@ -446,12 +446,12 @@
 				}
 			}
 			if p := r.prop; p != nil {
-				f.num(int64(p.Stage), int64(p.count), int64(p.lost))
-				f.ballot(p.Higher)
-				f.ballot(p.best)
-				f.value(p.found)
+				f.num(int64(p.Stage), int64(p.granted), int64(p.failures))
+				f.ballot(p.HighestPromised)
+				f.ballot(p.adoptedBallot)
+				f.value(p.adoptedValue)
 				for _, v := range p.Base.Voters {
-					f.yes(p.said[v.ID])
+					f.yes(p.responded[v.ID])
 				}
 			}
 		}
--- a/internal/consensus/model_steps_test.go
+++ b/internal/consensus/model_steps_test.go
@@ -148,9 +148,9 @@
 		o = &modelOp{kind: s.do, node: at, call: m.clock, floor: m.floor}
 		switch s.do {
 		case "put":
-			o.v = Value{Version: s.v, Base: s.base, Body: s.body, Sent: Sum(s.body)}
+			o.v = Value{Version: s.v, Base: s.base, Body: s.body, Sent: Fingerprint(s.body)}
 		case "admit":
-			if !n.up || n.asked == Nothing || n.k.StateKept() < n.asked || by.k.State.Votes(n.k.ID) {
+			if !n.up || n.asked == NoSlot || n.k.DurableSlot() < n.asked || by.k.State.IsVoter(n.k.ID) {
 				return false
 			}
 			o.asked = n.asked
@@ -193,7 +193,7 @@
 		}
 		for i, r := range o.rounds {
 			if r.prop != nil {
-				r.prop.Stage = Outbid
+				r.prop.Stage = StageAborted
 				m.ended(s.op, i)
 				return true
 			}
@@ -223,14 +223,14 @@
 		}
 		from := s.n
 		if s.do == "catch" {
-			if by.k.State.Votes(n.k.ID) {
+			if by.k.State.IsVoter(n.k.ID) {
 				return false
 			}
 			if from = n.k.State.Slot; len(n.k.State.Voters) == 0 {
-				from = Nothing
+				from = NoSlot
 			}
 		}
-		m.news(s.at, by.k.State.Since(min(from, by.k.State.Slot)))
+		m.news(s.at, by.k.State.DeltaSince(min(from, by.k.State.Slot)))
 		if s.do == "catch" && len(n.k.State.Voters) > 0 {
 			n.asked = by.k.State.Slot
 		}
@@ -408,11 +408,11 @@
 			if len(s.Voters) == 0 {
 				continue
 			}
-			votes := s.Votes(n.k.ID)
+			votes := s.IsVoter(n.k.ID)
 			if b.teach && (s.Slot > n.k.State.Slot) && (votes || len(n.k.State.Voters) > 0) {
-				add(modelStep{do: "teach", at: at, by: by, n: n.k.StateKept()})
+				add(modelStep{do: "teach", at: at, by: by, n: n.k.DurableSlot()})
 				if b.dups > 1 {
-					add(modelStep{do: "teach", at: at, by: by, n: Nothing})
+					add(modelStep{do: "teach", at: at, by: by, n: NoSlot})
 					if m.fault == faultNews && s.Slot > n.k.State.Slot+1 {
 						add(modelStep{do: "teach", at: at, by: by, n: n.k.State.Slot + 1})
 					}
@@ -424,7 +424,7 @@
 			if n.asked < s.Slot {
 				add(modelStep{do: "catch", at: at, by: by})
 			}
-			if n.asked != Nothing && n.k.StateKept() >= n.asked && s.Votes(m.nodes[by].k.ID) && free < 60 && m.asking(n.k.ID) < 2 {
+			if n.asked != NoSlot && n.k.DurableSlot() >= n.asked && s.IsVoter(m.nodes[by].k.ID) && free < 60 && m.asking(n.k.ID) < 2 {
 				for _, v := range s.Voters {
 					o := &modelOp{in: Voter{ID: n.k.ID, IP: machineName(at)}, out: machineOf(v)}
 					if m.goes(o, v) {
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -46,13 +46,13 @@
 	id      string
 	life    int64
 	state   State
-	ballots Ballots
+	ballots BallotState
 }
 
 // modelWrite is one batch: records of the state, or of the ballots.
 type modelWrite struct {
 	state   *State
-	ballots *Ballots
+	ballots *BallotState
 	mark    int64
 	says    []modelSay
 }
@@ -60,13 +60,13 @@
 type modelSay struct {
 	op, round, stage int
 	from             int
-	say              Say
-	news             *News
+	say              Response
+	news             *StateDelta
 }
 
 type modelMachine struct {
 	up, silent    bool
-	k             Keeper
+	k             DurableAcceptor
 	life, highest int64
 	disks         int // given to this machine so far
 	disk          modelDisk
@@ -80,7 +80,7 @@
 	prop *Proposer // nil once it ended or its machine did
 	node int
 	base State
-	ask  [2]*Ask // prepare, accept
+	ask  [2]*Request // prepare, accept
 	sent [2][modelMachines]uint8
 	says [2][modelMachines][]modelSay
 	told *learned
@@ -174,8 +174,8 @@
 		}
 	}
 	n.disk.life++
-	n.up, n.silent, n.life, n.asked = true, false, n.disk.life, Nothing
-	n.k = Keeper{Acceptor: Acceptor{ID: n.disk.id}}
+	n.up, n.silent, n.life, n.asked = true, false, n.disk.life, NoSlot
+	n.k = DurableAcceptor{Acceptor: Acceptor{ID: n.disk.id}}
 	s := n.disk.state
 	if m.fault == faultForgets {
 		s.Taken = nil
@@ -186,7 +186,7 @@
 
 func (m *model) end(i int) {
 	n := &m.nodes[i]
-	n.up, n.queue, n.k = false, nil, Keeper{}
+	n.up, n.queue, n.k = false, nil, DurableAcceptor{}
 	for _, o := range m.ops {
 		if o == nil || o.node != i || o.over || o.dead {
 			continue
@@ -216,15 +216,15 @@
 }
 
 // news is hut.takeNews.
-func (m *model) news(i int, n News) {
+func (m *model) news(i int, n StateDelta) {
 	k := &m.nodes[i].k
 	if n.Slot <= k.State.Slot && len(k.State.Voters) > 0 {
 		return
 	}
-	s, ok := k.State.Follow(n)
+	s, ok := k.State.ApplyDelta(n)
 	if !ok && m.fault == faultNews && len(k.State.Voters) > 0 && n.From > k.State.Slot {
 		n.From = k.State.Slot
-		s, ok = k.State.Follow(n)
+		s, ok = k.State.ApplyDelta(n)
 	}
 	if !ok {
 		return
@@ -241,18 +241,18 @@
 func (m *model) vote(i, op, round, stage int) {
 	n, r := &m.nodes[i], m.ops[op].rounds[round]
 	ask := *r.ask[stage]
-	say, needs := n.k.Vote(ask)
+	say, needs := n.k.Handle(ask)
 	n.highest = max(n.highest, ask.Ballot.N, n.k.Promised.N)
 	out := modelSay{op: op, round: round, stage: stage, from: i, say: say}
 	if say.Ahead != nil {
-		news := n.k.State.Since(ask.Slot - 1)
+		news := n.k.State.DeltaSince(ask.Slot - 1)
 		out.say.Ahead, out.news = nil, &news
 	}
-	if n.k.Kept(needs) {
+	if n.k.IsDurable(needs) {
 		m.leave(out)
 		return
 	}
-	b, mark := n.k.Ballots()
+	b, mark := n.k.BallotState()
 	w := modelWrite{ballots: &b, mark: mark}
 	if m.fault == faultEarly {
 		m.write(i, w)
@@ -284,9 +284,9 @@
 	n.queue = slices.Delete(slices.Clone(n.queue), at, at+1)
 	n.disk.take(w)
 	if w.state != nil {
-		n.k.StateSynced(w.state.Slot)
+		n.k.MarkStateDurable(w.state.Slot)
 	} else {
-		n.k.Synced(w.mark)
+		n.k.MarkDurable(w.mark)
 	}
 	for _, s := range w.says {
 		if !mute {
@@ -312,15 +312,15 @@
 		return
 	}
 	if s.news != nil {
-		if st, ok := r.base.Follow(*s.news); ok {
+		if st, ok := r.base.ApplyDelta(*s.news); ok {
 			s.say.Ahead = &st
 		}
 	}
 	switch m.fault {
 	case faultLow:
-		p.best = Ballot{}
+		p.adoptedBallot = Ballot{}
 	case faultRefused:
-		if !p.Base.Votes(s.say.ID) {
+		if !p.Base.IsVoter(s.say.ID) {
 			for _, v := range p.Base.Voters {
 				if machineOf(v) == s.from {
 					s.say.ID = v.ID
@@ -329,12 +329,12 @@
 			s.say.OK = true
 		}
 	}
-	p.Hear(Stage(s.stage), s.say)
-	if p.Stage == Accepting && r.ask[1] == nil {
-		ask := p.Ask()
+	p.OnResponse(Stage(s.stage), s.say)
+	if p.Stage == StageAccepting && r.ask[1] == nil {
+		ask := p.Request()
 		r.ask[1] = &ask
 	}
-	if p.Stage >= Chosen {
+	if p.Stage >= StageChosen {
 		m.ended(s.op, s.round)
 	}
 }
@@ -353,7 +353,7 @@
 		b.Life = 0
 	}
 	r := &modelRound{prop: NewProposer(base, b, own), node: o.node, base: base}
-	ask := r.prop.Ask()
+	ask := r.prop.Request()
 	r.ask[0] = &ask
 	o.rounds = append(o.rounds, r)
 }
@@ -366,17 +366,17 @@
 	r.prop = nil
 	n := &m.nodes[r.node]
 	switch p.Stage {
-	case Chosen:
+	case StageChosen:
 		s := p.Base.Apply(p.Value)
 		m.chosen(p.Value, s)
 		r.told = &learned{s.Slot, p.Ballot}
 		m.learn(r.node, s)
-	case Behind:
-		m.learn(r.node, *p.Newer)
+	case StageBehind:
+		m.learn(r.node, *p.NewerState)
 	default:
-		n.highest = max(n.highest, p.Higher.N)
+		n.highest = max(n.highest, p.HighestPromised.N)
 	}
-	m.after(op, p.Stage == Chosen || p.Stage == Behind)
+	m.after(op, p.Stage == StageChosen || p.Stage == StageBehind)
 }
 
 func (m *model) after(op int, moved bool) {
@@ -399,13 +399,13 @@
 	case "get":
 		o.read = &modelRead{s: s}
 	case "admit":
-		if s.Votes(o.in.ID) {
+		if s.IsVoter(o.in.ID) {
 			m.answer(op, 200)
 			return
 		}
 		voters := slices.Clone(s.Voters)
 		at := slices.IndexFunc(voters, func(v Voter) bool { return machineOf(v) == o.out })
-		if late := s.VotersSlot > o.asked && m.fault != faultLateJoin; late || at < 0 || !m.goes(o, voters[at]) || !s.Votes(n.k.ID) {
+		if late := s.VotersSlot > o.asked && m.fault != faultLateJoin; late || at < 0 || !m.goes(o, voters[at]) || !s.IsVoter(n.k.ID) {
 			m.answer(op, 0)
 			return
 		}
@@ -414,7 +414,7 @@
 	default:
 		v := o.v
 		switch {
-		case s.Has(v.Version, v.Base, v.Sent):
+		case s.HasApplied(v.Version, v.Base, v.Sent):
 			m.answer(op, 200)
 		case v.Base < s.Version && m.fault != faultBaseless:
 			m.answer(op, 412)
@@ -441,7 +441,7 @@
 	o := m.ops[op]
 	rd, k := o.read, &m.nodes[i].k
 	rd.peeked[i] = true
-	if !rd.s.Votes(k.ID) {
+	if !rd.s.IsVoter(k.ID) {
 		return
 	}
 	rd.known++
@@ -494,9 +494,9 @@
 			y := *r
 			if r.prop != nil {
 				p := *r.prop
-				p.said = make(map[string]bool, len(r.prop.said))
-				for id := range r.prop.said {
-					p.said[id] = true
+				p.responded = make(map[string]bool, len(r.prop.responded))
+				for id := range r.prop.responded {
+					p.responded[id] = true
 				}
 				y.prop = &p
 			}
--- a/internal/consensus/news.go
+++ b/internal/consensus/news.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// News is what a node at slot From lacks of a later State: a snapshot's
+// StateDelta is what a node at slot From lacks of a later State: a snapshot's
 // difference. Nothing in it is larger than what the State itself holds,
 // however many slots lie between, and it may be applied to any state from
 // From on.
-type News struct {
+type StateDelta struct {
 	From, Slot int64
 	// Voters are set where they changed after From.
 	Voters     []Voter `json:",omitempty"`
 	VotersSlot int64   `json:",omitempty"`
 	// Version and Body are set where they changed after From.
-	Version  int64   `json:",omitempty"`
-	Body     string  `json:",omitempty"`
-	TakenSeq int64   `json:",omitempty"`
-	Taken    []Taken `json:",omitempty"`
-	PurgeSeq int64   `json:",omitempty"`
-	Purges   []Purge `json:",omitempty"`
+	Version  int64           `json:",omitempty"`
+	Body     string          `json:",omitempty"`
+	TakenSeq int64           `json:",omitempty"`
+	Taken    []AppliedChange `json:",omitempty"`
+	PurgeSeq int64           `json:",omitempty"`
+	Purges   []Purge         `json:",omitempty"`
 	// Larders are few and always whole.
-	Larders  []Larder  `json:",omitempty"`
-	Rollouts []Rollout `json:",omitempty"`
-	Ordered  []Ordered `json:",omitempty"`
+	Larders  []CacheNode `json:",omitempty"`
+	Rollouts []Rollout   `json:",omitempty"`
+	Ordered  []PastOrder `json:",omitempty"`
 }
 
-// Nothing is the slot of a node that knows of no state at all.
-const Nothing = -1
+// NoSlot is the slot of a node that knows of no state at all.
+const NoSlot = -1
 
-// after cuts off the items up to a slot; they are in the order of their slots.
-func after[T any](all []T, slot int64, of func(T) int64) []T {
+// itemsAfter cuts off the items up to a slot; they are in the order of their slots.
+func itemsAfter[T any](all []T, slot int64, of func(T) int64) []T {
 	at := len(all)
 	for at > 0 && of(all[at-1]) > slot {
 		at--
@@ -36,35 +36,35 @@
 	return all[at:]
 }
 
-func takenSlot(t Taken) int64 { return t.Slot }
-func purgeSlot(p Purge) int64 { return p.Slot }
+func appliedChangeSlot(t AppliedChange) int64 { return t.Slot }
+func purgeSlot(p Purge) int64                 { return p.Slot }
 
-func orderedSlot(o Ordered) int64 { return o.Slot }
+func pastOrderSlot(o PastOrder) int64 { return o.Slot }
 
 // VersionAt is the version that was in force after a slot, as far as remembered; else 0.
 func (s State) VersionAt(slot int64) int64 {
-	if before := len(s.Taken) - len(after(s.Taken, slot, takenSlot)); before > 0 {
+	if before := len(s.Taken) - len(itemsAfter(s.Taken, slot, appliedChangeSlot)); before > 0 {
 		return s.Taken[before-1].Version
 	}
 	return 0
 }
 
-// Since gives what a node at slot from lacks.
-func (s State) Since(from int64) News {
-	n := News{From: from, Slot: s.Slot, TakenSeq: s.TakenSeq, PurgeSeq: s.PurgeSeq, Larders: s.Larders, Rollouts: s.RolloutsAfter(from)}
-	if from == Nothing || s.VotersSlot > from {
+// DeltaSince gives what a node at slot from lacks.
+func (s State) DeltaSince(from int64) StateDelta {
+	n := StateDelta{From: from, Slot: s.Slot, TakenSeq: s.TakenSeq, PurgeSeq: s.PurgeSeq, Larders: s.Larders, Rollouts: s.RolloutsAfter(from)}
+	if from == NoSlot || s.VotersSlot > from {
 		n.Voters, n.VotersSlot = s.Voters, s.VotersSlot
 	}
-	n.Taken, n.Purges, n.Ordered = after(s.Taken, from, takenSlot), after(s.Purges, from, purgeSlot), after(s.Ordered, from, orderedSlot)
-	if len(n.Taken) > 0 || from == Nothing {
+	n.Taken, n.Purges, n.Ordered = itemsAfter(s.Taken, from, appliedChangeSlot), itemsAfter(s.Purges, from, purgeSlot), itemsAfter(s.Ordered, from, pastOrderSlot)
+	if len(n.Taken) > 0 || from == NoSlot {
 		n.Version, n.Body = s.Version, s.Body
 	}
 	return n
 }
 
-// Follow gives the later state; ok is false where the news don't fit.
-func (s State) Follow(n News) (State, bool) {
-	if n.From == Nothing {
+// ApplyDelta gives the later state; ok is false where the news don't fit.
+func (s State) ApplyDelta(n StateDelta) (State, bool) {
+	if n.From == NoSlot {
 		return State{
 			Slot: n.Slot, Voters: n.Voters, VotersSlot: n.VotersSlot, Version: n.Version, Body: n.Body, TakenSeq: n.TakenSeq, Taken: n.Taken,
 			PurgeSeq: n.PurgeSeq, Purges: n.Purges, Larders: n.Larders, Rollouts: n.Rollouts, Ordered: n.Ordered,
@@ -78,21 +78,21 @@
 	if n.VotersSlot > was {
 		s.Voters, s.VotersSlot = n.Voters, n.VotersSlot
 	}
-	if more := after(n.Taken, was, takenSlot); len(more) > 0 {
+	if more := itemsAfter(n.Taken, was, appliedChangeSlot); len(more) > 0 {
 		s.Version, s.Body = n.Version, n.Body
-		s.take(more...)
+		s.rememberChanges(more...)
 	}
 	s.TakenSeq = n.TakenSeq
-	if more := after(n.Purges, was, purgeSlot); len(more) > 0 {
+	if more := itemsAfter(n.Purges, was, purgeSlot); len(more) > 0 {
 		all := slices.Concat(s.Purges, more)
-		s.Purges = all[max(0, len(all)-purgesKept):]
+		s.Purges = all[max(0, len(all)-maxPurges):]
 	}
 	s.PurgeSeq = n.PurgeSeq
 	for _, r := range n.Rollouts {
-		s.keep(r)
+		s.storeRollout(r)
 	}
-	for _, o := range after(n.Ordered, was, orderedSlot) {
-		s.remember(Rollout{N: o.Slot, Service: o.Service, Target: o.Target, DurationMs: o.DurationMs})
+	for _, o := range itemsAfter(n.Ordered, was, pastOrderSlot) {
+		s.rememberOrder(Rollout{N: o.Slot, Service: o.Service, Target: o.Target, DurationMs: o.DurationMs})
 	}
 	return s, true
 }
--- a/internal/consensus/news_test.go
+++ b/internal/consensus/news_test.go
@@ -22,11 +22,11 @@
 			case 1:
 				v.Purges = []Purge{{ID: fmt.Sprint(i)}, {ID: fmt.Sprint("b", i)}}
 			case 2:
-				v.Larders = []Larder{{Name: fmt.Sprint(i)}}
+				v.Larders = []CacheNode{{Name: fmt.Sprint(i)}}
 			case 3:
 				v.Rollout = &Rollout{Service: fmt.Sprint("s", r.IntN(4)), Target: fmt.Sprint("t", i), DurationMs: 5}
 				if old, ok := s.Rollout(v.Rollout.Service); ok && old.Running() {
-					v.Rollout = &Rollout{N: old.N, Service: old.Service, Phase: RolledBack}
+					v.Rollout = &Rollout{N: old.N, Service: old.Service, Phase: PhaseRolledBack}
 				}
 			default:
 				v.Version, v.Base, v.Body = s.Version+1+int64(r.IntN(3)), s.Version-int64(r.IntN(5)/4), fmt.Sprint("body", i)
@@ -35,8 +35,8 @@
 		}
 		last := states[60]
 		for i := 0; i < 60; i++ {
-			for _, from := range []int64{int64(i), int64(r.IntN(i + 1)), Nothing} {
-				got, ok := states[i].Follow(last.Since(from))
+			for _, from := range []int64{int64(i), int64(r.IntN(i + 1)), NoSlot} {
+				got, ok := states[i].ApplyDelta(last.DeltaSince(from))
 				if !ok || !reflect.DeepEqual(got, last) {
 					t.Fatalf("seed %d: from %d at %d: %v\n%+v\n%+v", seed, from, i, ok, got, last)
 				}
@@ -44,11 +44,11 @@
 			if v := last.VersionAt(int64(i)); v != states[i].Version {
 				t.Fatalf("seed %d: the version at %d was %d, not %d", seed, i, states[i].Version, v)
 			}
-			if _, ok := states[i].Follow(last.Since(int64(i + 1))); ok {
+			if _, ok := states[i].ApplyDelta(last.DeltaSince(int64(i + 1))); ok {
 				t.Fatal("news that leave a slot out were taken")
 			}
 		}
-		if _, ok := last.Follow(states[9].Since(3)); ok {
+		if _, ok := last.ApplyDelta(states[9].DeltaSince(3)); ok {
 			t.Fatal("old news were taken")
 		}
 	}
@@ -58,19 +58,19 @@
 func TestNewsAreBounded(t *testing.T) {
 	s := Genesis([]string{"1.1.1.1"})
 	var mid State
-	for v := int64(1); v < 2*TakenKept; v++ {
+	for v := int64(1); v < 2*MaxAppliedChanges; v++ {
 		s = s.Apply(Value{Version: v, Base: v - 1, Body: fmt.Sprint(v)})
-		if v == 10 || v == TakenKept+10 {
+		if v == 10 || v == MaxAppliedChanges+10 {
 			mid = s
-			if got, _ := mid.Follow(s.Since(Nothing)); !reflect.DeepEqual(got, s) {
+			if got, _ := mid.ApplyDelta(s.DeltaSince(NoSlot)); !reflect.DeepEqual(got, s) {
 				t.Fatal("whole news are not the state")
 			}
 		}
 	}
-	if n := s.Since(10); len(n.Taken) != TakenKept {
+	if n := s.DeltaSince(10); len(n.Taken) != MaxAppliedChanges {
 		t.Fatalf("%d are told", len(n.Taken))
 	}
-	if got, ok := mid.Follow(s.Since(mid.Slot)); !ok || !reflect.DeepEqual(got, s) {
+	if got, ok := mid.ApplyDelta(s.DeltaSince(mid.Slot)); !ok || !reflect.DeepEqual(got, s) {
 		t.Fatal("a node thousands of slots behind does not get the state")
 	}
 }
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -5,13 +5,13 @@
 
 // The stages.
 const (
-	Preparing Stage = iota
-	Accepting
-	Chosen
-	// Behind: an acceptor knew more; the state it sent is in Newer.
-	Behind
-	// Outbid: a higher ballot was seen, or too few voters are left that answer.
-	Outbid
+	StagePreparing Stage = iota
+	StageAccepting
+	StageChosen
+	// StageBehind: an acceptor knew more; the state it sent is in Newer.
+	StageBehind
+	// StageAborted: a higher ballot was seen, or too few voters are left that answer.
+	StageAborted
 )
 
 // Proposer runs one ballot for the slot after a state.
@@ -21,29 +21,29 @@
 	Stage  Stage
 	// Value is what is being proposed in Accepting and after it.
 	Value Value
-	// Mine tells whether Value is the proposer's own.
-	Mine  bool
-	Newer *State
-	// Higher is the highest ballot seen in a refusal.
-	Higher Ballot
+	// ValueIsOwn tells whether Value is the proposer's own.
+	ValueIsOwn bool
+	NewerState *State
+	// HighestPromised is the highest ballot seen in a refusal.
+	HighestPromised Ballot
 
-	own   *Value
-	said  map[string]bool
-	count int
-	best  Ballot
-	found *Value
-	lost  int
+	ownValue      *Value
+	responded     map[string]bool
+	granted       int
+	adoptedBallot Ballot
+	adoptedValue  *Value
+	failures      int
 }
 
 // NewProposer starts a ballot; own may be nil, to finish only what others began.
 func NewProposer(base State, b Ballot, own *Value) *Proposer {
-	return &Proposer{Base: base, Ballot: b, own: own, said: map[string]bool{}}
+	return &Proposer{Base: base, Ballot: b, ownValue: own, responded: map[string]bool{}}
 }
 
-// Ask is the message of the present stage.
-func (p *Proposer) Ask() Ask {
-	m := Ask{Slot: p.Base.Slot + 1, Ballot: p.Ballot}
-	if p.Stage == Accepting {
+// Request is the message of the present stage.
+func (p *Proposer) Request() Request {
+	m := Request{Slot: p.Base.Slot + 1, Ballot: p.Ballot}
+	if p.Stage == StageAccepting {
 		v := p.Value
 		m.Value = &v
 	}
@@ -52,55 +52,55 @@
 
 func (p *Proposer) quorum() int { return len(p.Base.Voters)/2 + 1 }
 
-// Lost counts a voter that did not answer in the present stage.
-func (p *Proposer) Lost() {
-	p.lost++
-	if p.Stage <= Accepting && p.lost > len(p.Base.Voters)-p.quorum() {
-		p.Stage = Outbid
+// OnFailure counts a voter that did not answer in the present stage.
+func (p *Proposer) OnFailure() {
+	p.failures++
+	if p.Stage <= StageAccepting && p.failures > len(p.Base.Voters)-p.quorum() {
+		p.Stage = StageAborted
 	}
 }
 
-// Hear takes a reply to the message of stage st and tells whether the stage changed.
-func (p *Proposer) Hear(st Stage, s Say) bool {
-	if st != p.Stage || p.Stage > Accepting {
+// OnResponse takes a reply to the message of stage st and tells whether the stage changed.
+func (p *Proposer) OnResponse(st Stage, s Response) bool {
+	if st != p.Stage || p.Stage > StageAccepting {
 		return false
 	}
 	if s.Ahead != nil && s.Ahead.Slot > p.Base.Slot {
-		p.Newer, p.Stage = s.Ahead, Behind
+		p.NewerState, p.Stage = s.Ahead, StageBehind
 		return true
 	}
-	if !p.Base.Votes(s.ID) || p.said[s.ID] {
+	if !p.Base.IsVoter(s.ID) || p.responded[s.ID] {
 		return false
 	}
-	p.said[s.ID] = true
+	p.responded[s.ID] = true
 	if !s.OK {
-		if p.Higher.Less(s.Promised) {
-			p.Higher = s.Promised
+		if p.HighestPromised.Less(s.Promised) {
+			p.HighestPromised = s.Promised
 		}
 		was := p.Stage
-		p.Lost()
+		p.OnFailure()
 		return p.Stage != was
 	}
-	if st == Preparing && s.Value != nil && (p.found == nil || p.best.Less(s.Accepted)) {
-		p.best, p.found = s.Accepted, s.Value
+	if st == StagePreparing && s.Value != nil && (p.adoptedValue == nil || p.adoptedBallot.Less(s.Accepted)) {
+		p.adoptedBallot, p.adoptedValue = s.Accepted, s.Value
 	}
-	if p.count++; p.count < p.quorum() {
+	if p.granted++; p.granted < p.quorum() {
 		return false
 	}
-	if st == Accepting {
-		p.Stage = Chosen
+	if st == StageAccepting {
+		p.Stage = StageChosen
 		return true
 	}
 	switch {
-	case p.found != nil:
-		p.Value, p.Mine = *p.found, p.own != nil && p.own.Equal(*p.found)
-	case p.own != nil:
-		p.Value, p.Mine = *p.own, true
+	case p.adoptedValue != nil:
+		p.Value, p.ValueIsOwn = *p.adoptedValue, p.ownValue != nil && p.ownValue.Equal(*p.adoptedValue)
+	case p.ownValue != nil:
+		p.Value, p.ValueIsOwn = *p.ownValue, true
 	default:
 		// Nothing was begun and nothing is to be proposed.
-		p.Stage = Outbid
+		p.Stage = StageAborted
 		return true
 	}
-	p.Stage, p.said, p.count, p.lost = Accepting, map[string]bool{}, 0, 0
+	p.Stage, p.responded, p.granted, p.failures = StageAccepting, map[string]bool{}, 0, 0
 	return true
 }
--- a/internal/consensus/rollout.go
+++ b/internal/consensus/rollout.go
@@ -5,18 +5,18 @@
 
 // The phases, in their order. The first three are called running outside.
 const (
-	// Canary: a small share of the requests goes to the new version.
-	Canary Phase = "canary"
-	// Trial: for a moment most of them do, to see it under its full load.
-	Trial Phase = "trial"
-	// Promote: it was found good; all requests move, and the fronts say so.
-	Promote Phase = "promote"
-	// Completed and RolledBack are final.
-	Completed  Phase = "completed"
-	RolledBack Phase = "rolled_back"
+	// PhaseCanary: a small share of the requests goes to the new version.
+	PhaseCanary Phase = "canary"
+	// PhaseTrial: for a moment most of them do, to see it under its full load.
+	PhaseTrial Phase = "trial"
+	// PhasePromote: it was found good; all requests move, and the fronts say so.
+	PhasePromote Phase = "promote"
+	// PhaseCompleted and RolledBack are final.
+	PhaseCompleted  Phase = "completed"
+	PhaseRolledBack Phase = "rolled_back"
 )
 
-var phaseOrder = map[Phase]int{Canary: 1, Trial: 2, Promote: 3, Completed: 4, RolledBack: 4}
+var phaseOrder = map[Phase]int{PhaseCanary: 1, PhaseTrial: 2, PhasePromote: 3, PhaseCompleted: 4, PhaseRolledBack: 4}
 
 // Rollout is the last order to move a service to another version of its
 // searchers, and how far it is.
@@ -43,35 +43,35 @@
 }
 
 // Running tells whether the order is not settled.
-func (r Rollout) Running() bool { return phaseOrder[r.Phase] < phaseOrder[Completed] }
+func (r Rollout) Running() bool { return phaseOrder[r.Phase] < phaseOrder[PhaseCompleted] }
 
-// State is what the operator is told.
-func (r Rollout) State() string {
+// Status is what the operator is told.
+func (r Rollout) Status() string {
 	if r.Running() {
 		return "running"
 	}
 	return string(r.Phase)
 }
 
-// Same tells whether r is the same order as o, as far as can be told.
-func (r Rollout) Same(o Rollout) bool {
+// SameOrder tells whether r is the same order as o, as far as can be told.
+func (r Rollout) SameOrder(o Rollout) bool {
 	return r.Service == o.Service && r.Target == o.Target && r.DurationMs == o.DurationMs
 }
 
-// InForce is the version that a service's requests belong to when no order for it runs.
-func (r Rollout) InForce() string {
-	if r.Phase == Completed {
+// ActiveVersion is the version that a service's requests belong to when no order for it runs.
+func (r Rollout) ActiveVersion() string {
+	if r.Phase == PhaseCompleted {
 		return r.Target
 	}
 	return r.From
 }
 
-// rolloutsKept bounds how many services' last orders are remembered.
-const rolloutsKept = 4096
+// maxRollouts bounds how many services' last orders are remembered.
+const maxRollouts = 4096
 
-// Ordered remembers an order that was decided, to know a copy of it that was
+// PastOrder remembers an order that was decided, to know a copy of it that was
 // long on its way.
-type Ordered struct {
+type PastOrder struct {
 	Service    string
 	Target     string
 	DurationMs int64
@@ -82,8 +82,8 @@
 // orderedEach bounds how many orders of one service are remembered,
 // orderedKept how many of all.
 const (
-	orderedEach = 4
-	orderedKept = 512
+	maxPastOrdersPerService = 4
+	maxPastOrders           = 512
 )
 
 // EarlierOrder finds the slot of an order equal to o that is not the last one
@@ -99,9 +99,9 @@
 	return 0, false
 }
 
-// remember notes a decided order; the oldest are forgotten first.
-func (s *State) remember(o Rollout) {
-	list := make([]Ordered, 0, len(s.Ordered)+1)
+// rememberOrder notes a decided order; the oldest are forgotten first.
+func (s *State) rememberOrder(o Rollout) {
+	list := make([]PastOrder, 0, len(s.Ordered)+1)
 	same := 0
 	for _, x := range s.Ordered {
 		if x.Service == o.Service {
@@ -109,14 +109,14 @@
 		}
 	}
 	for _, x := range s.Ordered {
-		if x.Service == o.Service && same >= orderedEach {
+		if x.Service == o.Service && same >= maxPastOrdersPerService {
 			same--
 			continue
 		}
 		list = append(list, x)
 	}
-	list = append(list, Ordered{o.Service, o.Target, o.DurationMs, o.N})
-	s.Ordered = list[max(0, len(list)-orderedKept):]
+	list = append(list, PastOrder{o.Service, o.Target, o.DurationMs, o.N})
+	s.Ordered = list[max(0, len(list)-maxPastOrders):]
 }
 
 // Rollout finds the last order for a service.
@@ -139,19 +139,19 @@
 	return out
 }
 
-// roll applies an order, or the next phase of one. An order beside a running
+// applyRollout applies an order, or the next phase of one. An order beside a running
 // one changes nothing, nor does a step back, or one of another order: what is
 // settled stays settled, whoever proposes.
-func (s *State) roll(v Rollout) {
+func (s *State) applyRollout(v Rollout) {
 	old, known := s.Rollout(v.Service)
 	switch {
-	case v.N == 0 && (!known || !old.Running() && !old.Same(v)):
-		v.N, v.Phase = s.Slot, Canary
+	case v.N == 0 && (!known || !old.Running() && !old.SameOrder(v)):
+		v.N, v.Phase = s.Slot, PhaseCanary
 		if v.From == v.Target {
-			v.Phase = Completed
+			v.Phase = PhaseCompleted
 		}
 		old = v
-		s.remember(v)
+		s.rememberOrder(v)
 	case v.N != 0 && known && old.N == v.N && old.Running() && phaseOrder[v.Phase] > phaseOrder[old.Phase]:
 		old.Phase, old.SpentMs, old.ForMs, old.Why = v.Phase, max(old.SpentMs, v.SpentMs), v.ForMs, v.Why
 		old.Asked, old.Of = max(old.Asked, v.Asked), max(old.Of, v.Of)
@@ -159,11 +159,11 @@
 		return
 	}
 	old.Slot = s.Slot
-	s.keep(old)
+	s.storeRollout(old)
 }
 
-// keep puts an order at the end of the list, in the place of its service's last one.
-func (s *State) keep(order Rollout) {
+// storeRollout puts an order at the end of the list, in the place of its service's last one.
+func (s *State) storeRollout(order Rollout) {
 	list := make([]Rollout, 0, len(s.Rollouts)+1)
 	for _, r := range s.Rollouts {
 		if r.Service != order.Service {
@@ -171,7 +171,7 @@
 		}
 	}
 	list = append(list, order)
-	for len(list) > rolloutsKept {
+	for len(list) > maxRollouts {
 		at := 0
 		for at < len(list)-1 && list[at].Running() {
 			at++
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -51,8 +51,8 @@
 	Tag  string `json:",omitempty"`
 }
 
-// Larder is a node that keeps copies and may fetch.
-type Larder struct {
+// CacheNode is a node that keeps copies and may fetch.
+type CacheNode struct {
 	Name string
 	IP   string
 	Zone string
@@ -65,10 +65,10 @@
 	Base    int64  `json:",omitempty"`
 	Body    string `json:",omitempty"`
 	// Sent is the fingerprint of the operator's call where that is not Body itself.
-	Sent    string   `json:",omitempty"`
-	Voters  []Voter  `json:",omitempty"`
-	Purges  []Purge  `json:",omitempty"`
-	Larders []Larder `json:",omitempty"`
+	Sent    string      `json:",omitempty"`
+	Voters  []Voter     `json:",omitempty"`
+	Purges  []Purge     `json:",omitempty"`
+	Larders []CacheNode `json:",omitempty"`
 	// NoLarders: the set of larders is empty.
 	NoLarders bool `json:",omitempty"`
 	// Rollout is an order (without N), or the next phase of one.
@@ -78,8 +78,8 @@
 // Equal compares two values.
 func (v Value) Equal(o Value) bool { return reflect.DeepEqual(v, o) }
 
-// Taken remembers a configuration that was chosen, to know its resends.
-type Taken struct {
+// AppliedChange remembers a configuration that was chosen, to know its resends.
+type AppliedChange struct {
 	Version int64
 	Base    int64
 	Sum     string
@@ -90,8 +90,8 @@
 // TakenKept bounds how many chosen configurations are remembered: two days of
 // 2,000 changes each, about a quarter of a megabyte. purgesKept bounds the purges.
 const (
-	TakenKept  = 4096
-	purgesKept = 256
+	MaxAppliedChanges = 4096
+	maxPurges         = 256
 )
 
 // State is all that the decided slots say.
@@ -104,24 +104,24 @@
 	Version    int64
 	Body       string `json:",omitempty"`
 	// TakenSeq counts the configurations that were chosen; Taken holds the newest ones.
-	TakenSeq int64   `json:",omitempty"`
-	Taken    []Taken `json:",omitempty"`
+	TakenSeq int64           `json:",omitempty"`
+	Taken    []AppliedChange `json:",omitempty"`
 	// PurgeSeq is the number of the last purge; Purges holds the newest ones.
-	PurgeSeq int64    `json:",omitempty"`
-	Purges   []Purge  `json:",omitempty"`
-	Larders  []Larder `json:",omitempty"`
+	PurgeSeq int64       `json:",omitempty"`
+	Purges   []Purge     `json:",omitempty"`
+	Larders  []CacheNode `json:",omitempty"`
 	// Rollouts holds each service's last order, those changed last at the end.
 	Rollouts []Rollout `json:",omitempty"`
 	// Ordered holds the last few orders of each service, the newest at the end.
-	Ordered []Ordered `json:",omitempty"`
+	Ordered []PastOrder `json:",omitempty"`
 }
 
-// PurgeFloor is the number of the last purge that is no longer held.
-func (s State) PurgeFloor() int64 { return s.PurgeSeq - int64(len(s.Purges)) }
+// CompactedPurgeSeq is the number of the last purge that is no longer held.
+func (s State) CompactedPurgeSeq() int64 { return s.PurgeSeq - int64(len(s.Purges)) }
 
 // PurgesAfter lists the purges held with a number above n.
 func (s State) PurgesAfter(n int64) []Purge {
-	return s.Purges[min(max(0, n-s.PurgeFloor()), int64(len(s.Purges))):]
+	return s.Purges[min(max(0, n-s.CompactedPurgeSeq()), int64(len(s.Purges))):]
 }
 
 // HasPurge tells whether the purge of that call is among those held.
@@ -134,8 +134,8 @@
 	return false
 }
 
-// Sum is the fingerprint under which a configuration is remembered.
-func Sum(body string) string {
+// Fingerprint is the fingerprint under which a configuration is remembered.
+func Fingerprint(body string) string {
 	h := sha256.Sum256([]byte(body))
 	return hex.EncodeToString(h[:16])
 }
@@ -151,7 +151,7 @@
 		n.Voters, n.VotersSlot = v.Voters, n.Slot
 		return n
 	case v.Rollout != nil:
-		n.roll(*v.Rollout)
+		n.applyRollout(*v.Rollout)
 		return n
 	case len(v.Larders) > 0 || v.NoLarders:
 		n.Larders = v.Larders
@@ -163,7 +163,7 @@
 			p.N, p.Slot = n.PurgeSeq, n.Slot
 			n.Purges = append(n.Purges, p)
 		}
-		n.Purges = n.Purges[max(0, len(n.Purges)-purgesKept):]
+		n.Purges = n.Purges[max(0, len(n.Purges)-maxPurges):]
 		return n
 	}
 	if v.Base != s.Version || v.Version <= s.Version {
@@ -172,22 +172,22 @@
 	n.Version, n.Body = v.Version, v.Body
 	sum := v.Sent
 	if sum == "" {
-		sum = Sum(v.Body)
+		sum = Fingerprint(v.Body)
 	}
-	n.take(Taken{v.Version, v.Base, sum, n.Slot})
+	n.rememberChanges(AppliedChange{v.Version, v.Base, sum, n.Slot})
 	return n
 }
 
-// take remembers chosen configurations; those before are never changed in place.
-func (s *State) take(more ...Taken) {
+// rememberChanges remembers chosen configurations; those before are never changed in place.
+func (s *State) rememberChanges(more ...AppliedChange) {
 	s.TakenSeq += int64(len(more))
-	all := make([]Taken, 0, len(s.Taken)+len(more))
+	all := make([]AppliedChange, 0, len(s.Taken)+len(more))
 	all = append(append(all, s.Taken...), more...)
-	s.Taken = all[max(0, len(all)-TakenKept):]
+	s.Taken = all[max(0, len(all)-MaxAppliedChanges):]
 }
 
-// Has tells whether the change that came by the call with that fingerprint was chosen earlier.
-func (s State) Has(version, base int64, sum string) bool {
+// HasApplied tells whether the change that came by the call with that fingerprint was chosen earlier.
+func (s State) HasApplied(version, base int64, sum string) bool {
 	for i := len(s.Taken) - 1; i >= 0; i-- {
 		if t := s.Taken[i]; t.Version == version && t.Base == base && t.Sum == sum {
 			return true
@@ -196,8 +196,8 @@
 	return false
 }
 
-// Votes tells whether id is among the voters.
-func (s State) Votes(id string) bool {
+// IsVoter tells whether id is among the voters.
+func (s State) IsVoter(id string) bool {
 	for _, v := range s.Voters {
 		if v.ID == id {
 			return true
--- a/internal/consensus/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -74,20 +74,20 @@
 	case "to": // to P A,B: the message arrives and so does the answer
 		p := w.prop[f[1]]
 		st := p.Stage
-		ask := p.Ask()
+		ask := p.Request()
 		for _, id := range strings.Split(f[2], ",") {
-			say, _ := w.accs[id].Take(ask)
-			p.Hear(st, say)
+			say, _ := w.accs[id].Handle(ask)
+			p.OnResponse(st, say)
 		}
 	case "deaf": // deaf P A: the message arrives, the answer does not
 		p := w.prop[f[1]]
-		w.accs[f[2]].Take(p.Ask())
-		p.Lost()
+		w.accs[f[2]].Handle(p.Request())
+		p.OnFailure()
 	case "lost":
-		w.prop[f[1]].Lost()
+		w.prop[f[1]].OnFailure()
 	case "learn": // learn P A,B: the chosen value is told
 		p := w.prop[f[1]]
-		if p.Stage != Chosen {
+		if p.Stage != StageChosen {
 			return fmt.Errorf("%s has chosen nothing", f[1])
 		}
 		for _, id := range strings.Split(f[2], ",") {
@@ -104,18 +104,18 @@
 		v, b, _ := strings.Cut(f[2], "/")
 		vn, _ := strconv.ParseInt(v, 10, 64)
 		bn, _ := strconv.ParseInt(b, 10, 64)
-		if w.accs[f[1]].State.Has(vn, bn, Sum("body-"+v)) != (f[0] == "has") {
+		if w.accs[f[1]].State.HasApplied(vn, bn, Fingerprint("body-"+v)) != (f[0] == "has") {
 			return fmt.Errorf("%s: %s", f[0], f[2])
 		}
 	case "stage":
-		want := map[string]Stage{"preparing": Preparing, "accepting": Accepting, "chosen": Chosen, "behind": Behind, "outbid": Outbid}[f[2]]
+		want := map[string]Stage{"preparing": StagePreparing, "accepting": StageAccepting, "chosen": StageChosen, "behind": StageBehind, "outbid": StageAborted}[f[2]]
 		if got := w.prop[f[1]].Stage; got != want {
 			return fmt.Errorf("stage is %d, want %s", got, f[2])
 		}
 	case "value": // value P VERSION mine|other
 		p := w.prop[f[1]]
-		if strconv.FormatInt(p.Value.Version, 10) != f[2] || p.Mine != (f[3] == "mine") {
-			return fmt.Errorf("value is %d, mine %v", p.Value.Version, p.Mine)
+		if strconv.FormatInt(p.Value.Version, 10) != f[2] || p.ValueIsOwn != (f[3] == "mine") {
+			return fmt.Errorf("value is %d, mine %v", p.Value.Version, p.ValueIsOwn)
 		}
 	case "state": // state A SLOT VERSION
 		s := w.accs[f[1]].State
@@ -142,14 +142,14 @@
 		type flight struct {
 			p   *Proposer
 			st  Stage
-			ask Ask
+			ask Request
 			to  string
 		}
 		var air []flight
 		var props []*Proposer
 		send := func(p *Proposer) {
 			for _, id := range ids {
-				air = append(air, flight{p, p.Stage, p.Ask(), id})
+				air = append(air, flight{p, p.Stage, p.Request(), id})
 			}
 		}
 		for step := 0; step < 400; step++ {
@@ -171,16 +171,16 @@
 			if r.IntN(6) == 0 {
 				continue
 			}
-			say, _ := w.accs[m.to].Take(m.ask)
+			say, _ := w.accs[m.to].Handle(m.ask)
 			if r.IntN(6) == 0 {
 				continue
 			}
 			was := m.p.Stage
-			m.p.Hear(m.st, say)
-			if m.p.Stage == Accepting && was != Accepting {
+			m.p.OnResponse(m.st, say)
+			if m.p.Stage == StageAccepting && was != StageAccepting {
 				send(m.p)
 			}
-			if m.p.Stage == Chosen && was != Chosen {
+			if m.p.Stage == StageChosen && was != StageChosen {
 				slot := m.p.Base.Slot + 1
 				if d, ok := decided[slot]; ok && !d.Equal(m.p.Value) {
 					t.Fatalf("seed %d: slot %d decided %d and %d", seed, slot, d.Version, m.p.Value.Version)
@@ -201,17 +201,17 @@
 
 func TestResendIsKnown(t *testing.T) {
 	s := Genesis([]string{"1.1.1.1"})
-	for v := int64(1); v < 2*TakenKept; v++ {
+	for v := int64(1); v < 2*MaxAppliedChanges; v++ {
 		s = s.Apply(Value{Version: v, Base: v - 1, Body: fmt.Sprint(v)})
 	}
-	last := int64(2*TakenKept - 1)
-	if !s.Has(last, last-1, Sum(fmt.Sprint(last))) || !s.Has(last-5, last-6, Sum(fmt.Sprint(last-5))) {
+	last := int64(2*MaxAppliedChanges - 1)
+	if !s.HasApplied(last, last-1, Fingerprint(fmt.Sprint(last))) || !s.HasApplied(last-5, last-6, Fingerprint(fmt.Sprint(last-5))) {
 		t.Fatal("a configuration taken lately is not known")
 	}
-	if s.Has(last, last-1, Sum("other")) || s.Has(last, last-2, Sum(fmt.Sprint(last))) {
+	if s.HasApplied(last, last-1, Fingerprint("other")) || s.HasApplied(last, last-2, Fingerprint(fmt.Sprint(last))) {
 		t.Fatal("another configuration is taken for the one taken")
 	}
-	if len(s.Taken) != TakenKept {
+	if len(s.Taken) != MaxAppliedChanges {
 		t.Fatalf("%d are remembered", len(s.Taken))
 	}
 }
@@ -227,27 +227,27 @@
 		o := order(service, n)
 		s = s.Apply(Value{Rollout: &o})
 		r, _ := s.Rollout(service)
-		r.Phase = RolledBack
+		r.Phase = PhaseRolledBack
 		s = s.Apply(Value{Rollout: &r})
 	}
-	for n := range 2 * orderedEach {
+	for n := range 2 * maxPastOrdersPerService {
 		run("a", n)
 	}
-	for n := range 2 * orderedEach {
+	for n := range 2 * maxPastOrdersPerService {
 		_, ok := s.EarlierOrder(order("a", n))
 		// The last one is not an earlier one.
-		if want := n >= orderedEach && n < 2*orderedEach-1; ok != want {
+		if want := n >= maxPastOrdersPerService && n < 2*maxPastOrdersPerService-1; ok != want {
 			t.Errorf("order %d of one service: known %v", n, ok)
 		}
 	}
-	for n := range 2 * orderedKept {
+	for n := range 2 * maxPastOrders {
 		run(fmt.Sprint("s", n), 1)
 		run(fmt.Sprint("s", n), 2)
 	}
-	if len(s.Ordered) != orderedKept {
+	if len(s.Ordered) != maxPastOrders {
 		t.Errorf("%d orders are remembered", len(s.Ordered))
 	}
-	if _, ok := s.EarlierOrder(order(fmt.Sprint("s", 2*orderedKept-1), 1)); !ok {
+	if _, ok := s.EarlierOrder(order(fmt.Sprint("s", 2*maxPastOrders-1), 1)); !ok {
 		t.Error("an order decided lately is forgotten")
 	}
 }
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -37,12 +37,12 @@
 		return true
 	}
 	p := consensus.NewProposer(base, b, own)
-	for p.Stage <= consensus.Accepting {
-		if p.Stage == consensus.Accepting && p.Mine && !until.IsZero() && time.Now().After(until) {
-			p.Stage = consensus.Outbid
+	for p.Stage <= consensus.StageAccepting {
+		if p.Stage == consensus.StageAccepting && p.ValueIsOwn && !until.IsZero() && time.Now().After(until) {
+			p.Stage = consensus.StageAborted
 			break
 		}
-		stage, m := p.Stage, ConsensusRequest{Ask: p.Ask()}
+		stage, m := p.Stage, ConsensusRequest{Request: p.Request()}
 		if v := m.Value; v != nil && v.Body != "" {
 			packed, err := PackDelta(base.Body, v.Body)
 			if err != nil {
@@ -52,7 +52,7 @@
 			m.Value, m.Packed = withoutBody(v, packed), packed
 		}
 		type heard struct {
-			say consensus.Say
+			say consensus.Response
 			err error
 		}
 		in := make(chan heard, len(base.Voters))
@@ -73,26 +73,26 @@
 		}
 		for left := len(base.Voters); left > 0 && p.Stage == stage; left-- {
 			if x := <-in; x.err != nil {
-				p.Lost()
+				p.OnFailure()
 			} else {
-				p.Hear(stage, x.say)
+				p.OnResponse(stage, x.say)
 			}
 		}
 		if p.Stage == stage {
-			p.Stage = consensus.Outbid
+			p.Stage = consensus.StageAborted
 		}
 	}
 	switch p.Stage {
-	case consensus.Chosen:
+	case consensus.StageChosen:
 		s := base.Apply(p.Value)
 		h.loop.Call(func() { h.learn(s, "proposed") })
 		h.disseminate(b, s)
 		return true
-	case consensus.Behind:
-		h.loop.Call(func() { h.learn(*p.Newer, "told") })
+	case consensus.StageBehind:
+		h.loop.Call(func() { h.learn(*p.NewerState, "told") })
 		return true
 	}
-	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.Higher.N) })
+	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.HighestPromised.N) })
 	events.Log(events.ProposalPreempted, "slot", base.Slot+1, "ballot", b.N)
 	return false
 }
@@ -172,7 +172,7 @@
 		known, begun, ahead := 0, false, false
 		for left := len(s.Voters); left > 0 && known < len(s.Voters)/2+1; left-- {
 			say := <-in
-			if say == nil || !s.Votes(say.ID) {
+			if say == nil || !s.IsVoter(say.ID) {
 				continue
 			}
 			known++
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -18,20 +18,20 @@
 
 // ConsensusRequest is an Ask; Packed holds the body of its value.
 type ConsensusRequest struct {
-	consensus.Ask
+	consensus.Request
 	Packed []byte `json:",omitempty"`
 }
 
 // ConsensusResponse is a Say; Packed holds the body of its value, News stand for Ahead.
 type ConsensusResponse struct {
-	consensus.Say
+	consensus.Response
 	Packed []byte      `json:",omitempty"`
 	News   *StateDelta `json:",omitempty"`
 }
 
 // StateDelta are cairn.News whose body is packed on top of that of version Base.
 type StateDelta struct {
-	consensus.News
+	consensus.StateDelta
 	Base   int64  `json:",omitempty"`
 	Packed []byte `json:",omitempty"`
 }
@@ -62,7 +62,7 @@
 		}
 		was := h.acceptor.Accepted
 		var needs int64
-		say.Say, needs = h.acceptor.Vote(m.Ask)
+		say.Response, needs = h.acceptor.Handle(m.Request)
 		h.highestRound = max(h.highestRound, m.Ballot.N, h.acceptor.Promised.N)
 		if h.acceptor.Accepted != was {
 			h.packedValue = m.Packed
@@ -73,15 +73,15 @@
 		if say.Ahead != nil {
 			say.Ahead, say.News = nil, h.stateDelta(m.Slot-1)
 		}
-		if h.acceptor.Kept(needs) {
+		if h.acceptor.IsDurable(needs) {
 			done <- nil
 			return
 		}
-		b, mark := h.acceptor.Ballots()
+		b, mark := h.acceptor.BallotState()
 		b.Value = withoutBody(b.Value, h.packedValue)
 		h.writeRecord(recordBallot, BallotRecord{b, h.packedValue}, func(e error) {
 			if e == nil {
-				h.loop.Submit(func() { h.acceptor.Synced(mark) })
+				h.loop.Submit(func() { h.acceptor.MarkDurable(mark) })
 			}
 			done <- e
 		})
@@ -96,11 +96,11 @@
 
 // unpackResponse opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
-func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Say, error) {
+func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Response, error) {
 	if say.Value != nil && say.Packed != nil {
 		body, err := UnpackDelta(base.Body, say.Packed, h.host.maxMessage())
 		if err != nil {
-			return say.Say, err
+			return say.Response, err
 		}
 		whole := *say.Value
 		whole.Body = body
@@ -109,13 +109,13 @@
 	if say.News != nil {
 		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.maxMessage())
 		if err != nil {
-			return say.Say, err
+			return say.Response, err
 		}
-		if s, ok := base.Follow(n); ok {
+		if s, ok := base.ApplyDelta(n); ok {
 			say.Ahead = &s
 		}
 	}
-	return say.Say, nil
+	return say.Response, nil
 }
 
 // stateDelta gives what a node at slot from lacks, packed once for all who are
@@ -125,7 +125,7 @@
 		return n
 	}
 	s := h.acceptor.State
-	n := &StateDelta{News: s.Since(from)}
+	n := &StateDelta{StateDelta: s.DeltaSince(from)}
 	if n.Body != "" {
 		base := ""
 		if v := s.VersionAt(from); v > 0 {
@@ -153,8 +153,8 @@
 const maxStateDeltas = 16
 
 // unpack gives the news whole; body finds that of a version.
-func (n *StateDelta) unpack(body func(int64) (string, bool), most int) (consensus.News, error) {
-	whole := n.News
+func (n *StateDelta) unpack(body func(int64) (string, bool), most int) (consensus.StateDelta, error) {
+	whole := n.StateDelta
 	if n.Packed == nil {
 		return whole, nil
 	}
@@ -188,7 +188,7 @@
 		events.Log(events.MessageRejected, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
 		return false
 	}
-	s, ok := h.acceptor.State.Follow(whole)
+	s, ok := h.acceptor.State.ApplyDelta(whole)
 	if !ok {
 		return false
 	}
@@ -221,7 +221,7 @@
 // held is the slot that the other is known to hold.
 func (h *ControlServer) sendState(ip string, held int64, within time.Duration) int64 {
 	until := time.Now().Add(within)
-	for _, from := range []int64{held, consensus.Nothing} {
+	for _, from := range []int64{held, consensus.NoSlot} {
 		var m LearnRequest
 		h.loop.Call(func() {
 			m = LearnRequest{Slot: h.acceptor.State.Slot}
@@ -234,7 +234,7 @@
 		if h.host.call.CallJSON(h.host.set().InternalAddress(ip), PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
-		if say.Slot >= m.Slot || from == consensus.Nothing || time.Now().After(until) {
+		if say.Slot >= m.Slot || from == consensus.NoSlot || time.Now().After(until) {
 			events.Log(events.HintsDelivered, "to", ip, "slot", say.Slot)
 			return say.Slot
 		}
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -21,7 +21,7 @@
 
 // heartbeat is this node's sign of life; it runs on the desk.
 func (h *ControlServer) heartbeat() Heartbeat {
-	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.set().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.StateKept(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.set().Zone, Leaving: h.host.leaving.Load()}
+	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.set().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.set().Zone, Leaving: h.host.leaving.Load()}
 	b.Unfit = !h.pollLease.Eligible(h.host.steady())
 	b.Fronts = h.frontCount
 	b.Roll = h.frontRoster().Roll
@@ -145,9 +145,9 @@
 // sends the beats; it runs on the desk.
 func (h *ControlServer) initiatesHeartbeat(b Heartbeat, ip string, o peerState) bool {
 	switch {
-	case b.Renews != nil && h.acceptor.State.Votes(o.id):
+	case b.Renews != nil && h.acceptor.State.IsVoter(o.id):
 		return true
-	case o.id == h.pollLease.ObservedHolder && h.acceptor.State.Votes(h.acceptor.ID):
+	case o.id == h.pollLease.ObservedHolder && h.acceptor.State.IsVoter(h.acceptor.ID):
 		return false
 	}
 	return b.IP <= ip
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -16,7 +16,7 @@
 
 // cacheNodeList is what a node knows of those that keep copies; it is never changed.
 type cacheNodeList struct {
-	list []consensus.Larder
+	list []consensus.CacheNode
 	// member: this node is one of them.
 	member bool
 	// since is when this node came onto the list, in this life.
@@ -25,10 +25,10 @@
 }
 
 // setCacheNodes takes the agreed list; it runs on the desk.
-func (t *FrontServer) setCacheNodes(list []consensus.Larder) {
+func (t *FrontServer) setCacheNodes(list []consensus.CacheNode) {
 	old := t.cacheNodes.Load()
 	now := &cacheNodeList{list: list}
-	now.member = slices.ContainsFunc(list, func(l consensus.Larder) bool { return l.IP == t.host.set().IpAddress })
+	now.member = slices.ContainsFunc(list, func(l consensus.CacheNode) bool { return l.IP == t.host.set().IpAddress })
 	switch {
 	case !now.member:
 	case old == nil:
@@ -93,8 +93,8 @@
 	}
 	order := slices.Clone(l.list)
 	key, now := cache.Key(w.Host, w.Target), time.Now()
-	score := func(x consensus.Larder) uint64 { return upstream.Draw(x.IP + "\n" + key) }
-	slices.SortFunc(order, func(a, b consensus.Larder) int {
+	score := func(x consensus.CacheNode) uint64 { return upstream.Draw(x.IP + "\n" + key) }
+	slices.SortFunc(order, func(a, b consensus.CacheNode) int {
 		return cmp.Or(cmp.Compare(t.cacheNodeHealth.Out(a.IP, now), t.cacheNodeHealth.Out(b.IP, now)), cmp.Compare(score(b), score(a)))
 	})
 	for at := 0; ; {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (t *FrontServer) fetchFrom(to consensus.Larder, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
+func (t *FrontServer) fetchFrom(to consensus.CacheNode, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.host.steady()
 	rep, err := t.host.call.Do(t.host.set().InternalAddress(to.IP), "POST", PathCacheFetch, nil, Encode("larder", a), min(left, wait+max(w.Aim/2, t.host.heartbeat(0.2))))
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		t.rollouts.orders[r.Service] = r
-		if r.Phase == consensus.Trial && now > t.host.heartbeat(4) {
+		if r.Phase == consensus.PhaseTrial && now > t.host.heartbeat(4) {
 			// One that has just started does not know how much of it is over.
 			t.rollouts.trialUntil[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
 		}
@@ -252,7 +252,7 @@
 			j = rollout.NewJudge(t.options.Rollout, w.term, now)
 			t.rollouts.evaluators[w.order] = j
 		}
-		j.Loaded = t.rollouts.orders[service].Phase != consensus.Canary
+		j.Loaded = t.rollouts.orders[service].Phase != consensus.PhaseCanary
 		j.Add(byOrder[w.order])
 		j.Step(now)
 		if j.Bad() != "" && !t.rollouts.halted[w.order] {
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -31,7 +31,7 @@
 	loop  *commandloop.Loop
 
 	// Owned by the desk.
-	acceptor         consensus.Keeper
+	acceptor         consensus.DurableAcceptor
 	versionLearnedAt time.Duration
 	// highestRound is the highest number of a ballot that was seen.
 	highestRound int64
@@ -158,7 +158,7 @@
 	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.heartbeat(1), n.steady()), h.inheritedFrontCount
 	h.ineligible = true // until it has heard a majority
 	leaseDuration := n.heartbeat(1.25)
-	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.Votes(id), n.steady())
+	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.IsVoter(id), n.steady())
 	h.pollLease = lease.NewCandidate(pollerRole, id, leaseDuration, n.steady())
 	h.pollLease.SetIncarnation(h.incarnation)
 	h.pollLease.ObserveEpoch(leases[pollerRole].Epoch, leases[pollerRole].Holder)
@@ -237,7 +237,7 @@
 		h.versionLearnedAt = h.host.steady()
 	}
 	h.applyVoters()
-	h.voter.SetVoters(s.VotersSlot, s.Votes(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.steady())
+	h.voter.SetVoters(s.VotersSlot, s.IsVoter(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.steady())
 	h.applyRollouts()
 	h.persistState()
 	h.packedValue = nil
@@ -375,7 +375,7 @@
 			transport.WriteJSON(c, 200, struct{}{})
 		}
 	case PathCacheJoin:
-		var l consensus.Larder
+		var l consensus.CacheNode
 		if !transport.ReadJSON(c, &l) {
 			return true
 		}
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -394,7 +394,7 @@
 		if l := k.front.cacheNodes.Load(); l != nil && l.member || k.host.leaving.Load() {
 			continue
 		}
-		self := consensus.Larder{Name: k.host.set().NodeName, IP: k.host.set().IpAddress, Zone: k.host.set().Zone}
+		self := consensus.CacheNode{Name: k.host.set().NodeName, IP: k.host.set().IpAddress, Zone: k.host.set().Zone}
 		for _, ip := range k.front.ControlIPs() {
 			if k.host.call.CallJSON(k.host.set().InternalAddress(ip), PathCacheJoin, self, nil, config.Milliseconds(k.host.set().Bounds.AcknowledgeMs, 0.4)) == nil {
 				events.Log(events.CacheNodeRegistered, "by", ip)
--- a/internal/lodge/lodge_test.go
+++ b/internal/lodge/lodge_test.go
@@ -296,7 +296,7 @@
 	w.run(1, false, 2, 3)
 	w.eventually("the empty hut votes under a new identity", func() bool {
 		s := w.nodes["2"].hut.State()
-		return s.Votes(w.nodes["1"].hut.acceptor.ID) && len(s.Voters) == 3
+		return s.IsVoter(w.nodes["1"].hut.acceptor.ID) && len(s.Voters) == 3
 	})
 	if st, body := w.control(1, "GET", "", ""); st != 200 || body != configBody(4, "s1", "s2") {
 		t.Fatalf("after a lost disk: %d %q", st, body)
@@ -306,7 +306,7 @@
 	w.run(4, false, 1, 2)
 	w.eventually("the new hut has the place of the one that is gone", func() bool {
 		s := w.nodes["1"].hut.State()
-		return s.Votes(w.nodes["4"].hut.acceptor.ID) && len(s.Voters) == 3
+		return s.IsVoter(w.nodes["4"].hut.acceptor.ID) && len(s.Voters) == 3
 	})
 	w.eventually("changes go on", func() bool {
 		st, _ := w.control(4, "PUT", "4", configBody(5, "s1", "s2"))
@@ -382,7 +382,7 @@
 	})
 	w.eventually("the empty disks vote under new identities", func() bool {
 		st := w.nodes["3"].hut.State()
-		return st.Votes(w.nodes["1"].hut.acceptor.ID) && st.Votes(w.nodes["4"].hut.acceptor.ID) && len(st.Voters) == 5
+		return st.IsVoter(w.nodes["1"].hut.acceptor.ID) && st.IsVoter(w.nodes["4"].hut.acceptor.ID) && len(st.Voters) == 5
 	})
 	// Each holder of the duty in turn is killed and back at once; what drains
 	// in that moment is noticed all the same.
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -63,7 +63,7 @@
 		s := h.acceptor.State
 		h.store.PutAll(stateRecords(s, s.Version, s.TakenSeq), func(e error) {
 			if e == nil {
-				h.loop.Submit(func() { h.acceptor.StateSynced(s.Slot); h.wakeDurabilityWaiters() })
+				h.loop.Submit(func() { h.acceptor.MarkStateDurable(s.Slot); h.wakeDurabilityWaiters() })
 			}
 			done <- e
 		})
@@ -111,7 +111,7 @@
 		}
 		owed := false
 		h.loop.Call(func() {
-			owed = h.acceptor.State.Slot == s.Slot && s.Votes(h.voterIDAt(ip)) && !h.handoff.Holds(ip, s.Slot)
+			owed = h.acceptor.State.Slot == s.Slot && s.IsVoter(h.voterIDAt(ip)) && !h.handoff.Holds(ip, s.Slot)
 		})
 		if !owed {
 			return
@@ -142,7 +142,7 @@
 		case <-time.After(time.Duration(float64(wait) * (0.5 + rand.Float64()))):
 		}
 		wait = h.host.heartbeat(0.25)
-		if s := h.State(); s.Votes(h.acceptor.ID) || h.host.leaving.Load() {
+		if s := h.State(); s.IsVoter(h.acceptor.ID) || h.host.leaving.Load() {
 			continue
 		}
 		if judges := h.catchUp(); len(judges) > 0 {
@@ -201,12 +201,12 @@
 			break
 		}
 		slot, fits := int64(0), false
-		for _, at := range []int64{s.Slot, consensus.Nothing} {
+		for _, at := range []int64{s.Slot, consensus.NoSlot} {
 			var got StateDelta
-			if fits || len(s.Voters) == 0 && at != consensus.Nothing {
+			if fits || len(s.Voters) == 0 && at != consensus.NoSlot {
 				continue
 			}
-			if h.host.call.CallJSON(h.host.set().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.heartbeat(1)) != nil || at == consensus.Nothing && len(got.Voters) == 0 {
+			if h.host.call.CallJSON(h.host.set().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.heartbeat(1)) != nil || at == consensus.NoSlot && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -223,7 +223,7 @@
 		break
 	}
 	for _, x := range seen {
-		if s.Votes(x.say.ID) {
+		if s.IsVoter(x.say.ID) {
 			judges = append(judges, x.ip)
 		}
 	}
@@ -252,7 +252,7 @@
 				return
 			}
 		case <-time.After(h.host.heartbeat(0.8)):
-			if h.State().Votes(h.acceptor.ID) {
+			if h.State().IsVoter(h.acceptor.ID) {
 				return
 			}
 		case <-h.host.stop:
@@ -357,7 +357,7 @@
 	defer h.proposalLock.Unlock()
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
-		if s.Votes(m.ID) {
+		if s.IsVoter(m.ID) {
 			return s, true
 		}
 		if !slices.Equal(s.Voters, from) {
@@ -428,7 +428,7 @@
 // standbyCount counts those that stay and have no vote; it runs on the desk.
 func (h *ControlServer) standbyCount() (n int) {
 	for _, ip := range h.stayingPeers() {
-		if !h.acceptor.State.Votes(h.peers[ip].id) {
+		if !h.acceptor.State.IsVoter(h.peers[ip].id) {
 			n++
 		}
 	}
@@ -513,7 +513,7 @@
 		var mine Heartbeat
 		h.loop.Call(func() {
 			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
-			p = membership.DrainProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.Votes(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
+			p = membership.DrainProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.IsVoter(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
 		})
 		if p.ProposalPending {
 			select {
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -31,7 +31,7 @@
 func (w *town) hut(n int) *ControlServer { return w.nodes[fmt.Sprint(n)].hut }
 
 // votes tells whether hut n has a vote, as hut by knows it.
-func (w *town) votes(by, n int) bool { return w.hut(by).State().Votes(w.hut(n).acceptor.ID) }
+func (w *town) votes(by, n int) bool { return w.hut(by).State().IsVoter(w.hut(n).acceptor.ID) }
 
 // wipe ends a node at once and takes its disk.
 func (w *town) wipe(n int) {
@@ -114,7 +114,7 @@
 		t.Fatalf("%d %s", st, body)
 	}
 	time.Sleep(w.hut(1).replacementTimeout())
-	if s := w.hut(2).State(); w.hut(3).Status().Polling || !s.Votes(w.hut(1).acceptor.ID) || !s.Votes(w.hut(4).acceptor.ID) || len(s.Voters) != 3 {
+	if s := w.hut(2).State(); w.hut(3).Status().Polling || !s.IsVoter(w.hut(1).acceptor.ID) || !s.IsVoter(w.hut(4).acceptor.ID) || len(s.Voters) != 3 {
 		t.Fatalf("it has a place or a duty: %v", s.Voters)
 	}
 }
@@ -190,7 +190,7 @@
 	w.at(3, 1, 2, 3, 4)
 	h := w.hut(3)
 	var stamp endpoints.Stamp
-	m := ConsensusRequest{Ask: consensus.Ask{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: configBody(9, "s1"), Sent: "x"}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: configBody(9, "s1"), Sent: "x"}}}
 	for _, k := range []int{1, 3} {
 		if say, err := w.hut(k).handleConsensus(m); err != nil || !say.OK {
 			t.Errorf("hut %d has not accepted: %+v %v", k, say, err)
@@ -243,7 +243,7 @@
 	})
 	for _, k := range []int{2, 4} {
 		s := w.hut(k).State()
-		if s.Version != 9 || s.Votes(n.hut.acceptor.ID) || !s.Votes(w.hut(4).acceptor.ID) {
+		if s.Version != 9 || s.IsVoter(n.hut.acceptor.ID) || !s.IsVoter(w.hut(4).acceptor.ID) {
 			t.Errorf("hut %d: version %d, voters %v", k, s.Version, s.Voters)
 		}
 		var kept int
@@ -385,7 +385,7 @@
 	w.at(3, 1, 2, 3)
 	h := w.hut(2)
 	body := configBody(9, "s1")
-	m := ConsensusRequest{Ask: consensus.Ask{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body}}}
 	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
@@ -401,7 +401,7 @@
 	w := core(t, 1, 1, 2, 3)
 	w.at(3, 1, 2, 3)
 	h, n, body := w.hut(3), w.nodes["3"], configBody(9, "s1")
-	m := ConsensusRequest{Ask: consensus.Ask{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
 	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -223,10 +223,10 @@
 	Heard int64   `json:",omitempty"`
 	// Purge is the last purge's number, Floor the last that nobody holds any
 	// more; Purges are those that the asker lacks.
-	Purge   int64              `json:",omitempty"`
-	Floor   int64              `json:",omitempty"`
-	Purges  []consensus.Purge  `json:",omitempty"`
-	Larders []consensus.Larder `json:",omitempty"`
+	Purge   int64                 `json:",omitempty"`
+	Floor   int64                 `json:",omitempty"`
+	Purges  []consensus.Purge     `json:",omitempty"`
+	Larders []consensus.CacheNode `json:",omitempty"`
 	// Rollouts are the orders that changed since the slot that the asker knows
 	// them up to, RolledTo the slot that it knows them up to then.
 	Rollouts []consensus.Rollout `json:",omitempty"`
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -92,13 +92,13 @@
 func (h *ControlServer) changeConfiguration(isPatch bool, body, match string, until time.Time) (int, changeResult) {
 	var version int64
 	var patch *config.Patch
-	sum := consensus.Sum(body)
+	sum := consensus.Fingerprint(body)
 	if isPatch {
 		p, err := config.ParsePatch([]byte(body))
 		if err != nil {
 			return 400, changeResult{why: err.Error()}
 		}
-		version, patch, sum = p.Version, p, consensus.Sum("PATCH\n"+body)
+		version, patch, sum = p.Version, p, consensus.Fingerprint("PATCH\n"+body)
 	} else {
 		conf, err := config.ParseConfiguration([]byte(body))
 		if err != nil {
@@ -133,7 +133,7 @@
 		h.proposalLock.YieldToUrgent()
 		s := h.State()
 		switch {
-		case s.Has(own.Version, own.Base, own.Sent):
+		case s.HasApplied(own.Version, own.Base, own.Sent):
 			return 200, changeResult{}
 		case own.Base < s.Version:
 			return 412, staleBase(s.Version)
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -300,11 +300,11 @@
 	if status := order("v2"); status != 200 {
 		t.Fatalf("%d", status)
 	}
-	h.settleOrder(t, consensus.RolledBack)
+	h.settleOrder(t, consensus.PhaseRolledBack)
 	if status := order("v2"); status != 200 {
 		t.Fatalf("the same order again: %d", status)
 	}
-	last("v2", consensus.RolledBack)
+	last("v2", consensus.PhaseRolledBack)
 	if status := order("v3"); status != 200 {
 		t.Fatalf("the next order: %d", status)
 	}
@@ -315,12 +315,12 @@
 	if status := order("v4"); status != 409 {
 		t.Errorf("another order beside a running one: %d", status)
 	}
-	last("v3", consensus.Canary)
-	h.settleOrder(t, consensus.Completed)
+	last("v3", consensus.PhaseCanary)
+	h.settleOrder(t, consensus.PhaseCompleted)
 	if status := order("v2"); status != 200 {
 		t.Errorf("a late copy: %d", status)
 	}
-	last("v3", consensus.Completed)
+	last("v3", consensus.PhaseCompleted)
 	// Long after, it is a new order.
 	h.loop.Call(func() {
 		for slot := range h.rollouts.orderKnownAt {
@@ -330,7 +330,7 @@
 	if status := order("v2"); status != 200 {
 		t.Errorf("the order anew: %d", status)
 	}
-	last("v2", consensus.Canary)
+	last("v2", consensus.PhaseCanary)
 }
 
 // A node that is behind asks a majority before it refuses an order.
@@ -347,7 +347,7 @@
 	w.eventually("the first order", func() bool { status, _ := w.sendOrder(1, PathRollouts, anOrder, nil); return status == 200 })
 	w.eventually("both know it", func() bool { _, ok := two.State().Rollout("plain"); return ok })
 	old := two.State()
-	one.settleOrder(t, consensus.RolledBack)
+	one.settleOrder(t, consensus.PhaseRolledBack)
 	w.eventually("the end is known", func() bool { r, _ := two.State().Rollout("plain"); return !r.Running() })
 	two.loop.Call(func() { two.acceptor.State = old })
 	if status, _ := w.sendOrder(2, PathRollouts, strings.Replace(anOrder, "v2", "v3", 1), nil); status != 200 {
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -142,29 +142,29 @@
 }
 
 // handleCacheJoin makes a node one of the larders, which changes the parts of all of them.
-func (h *ControlServer) handleCacheJoin(l consensus.Larder) bool {
+func (h *ControlServer) handleCacheJoin(l consensus.CacheNode) bool {
 	if l.IP == "" {
 		return false
 	}
-	return h.changeCacheNodes(func(list []consensus.Larder) []consensus.Larder {
+	return h.changeCacheNodes(func(list []consensus.CacheNode) []consensus.CacheNode {
 		for _, x := range list {
 			if x.IP == l.IP {
 				return nil
 			}
 		}
-		return append(append([]consensus.Larder(nil), list...), l)
+		return append(append([]consensus.CacheNode(nil), list...), l)
 	})
 }
 
 // changeCacheNodes proposes another list; nil from change means that it is as wanted.
-func (h *ControlServer) changeCacheNodes(change func([]consensus.Larder) []consensus.Larder) bool {
+func (h *ControlServer) changeCacheNodes(change func([]consensus.CacheNode) []consensus.CacheNode) bool {
 	if !h.proposalLock.LockUrgent(h.host.heartbeat(0.3)) {
 		return false
 	}
 	defer h.proposalLock.Unlock()
 	for try := 0; try < 4; try++ {
 		s := h.State()
-		if !s.Votes(h.acceptor.ID) {
+		if !s.IsVoter(h.acceptor.ID) {
 			return false
 		}
 		list := change(s.Larders)
@@ -211,8 +211,8 @@
 	if gone == nil {
 		return
 	}
-	ok := h.changeCacheNodes(func(list []consensus.Larder) []consensus.Larder {
-		left := []consensus.Larder{}
+	ok := h.changeCacheNodes(func(list []consensus.CacheNode) []consensus.CacheNode {
+		left := []consensus.CacheNode{}
 		for _, l := range list {
 			if !gone[l.IP] {
 				left = append(left, l)
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -18,7 +18,7 @@
 // BallotRecord is the acceptor's part that changes with every round. The body
 // of its value stands in Packed, on top of the one in force before the slot.
 type BallotRecord struct {
-	consensus.Ballots
+	consensus.BallotState
 	Packed []byte `json:",omitempty"`
 }
 
@@ -45,7 +45,7 @@
 // than are needed, so that the oldest is never cut while it counts.
 const (
 	takenPage  = 64
-	takenPages = consensus.TakenKept/takenPage + 1
+	takenPages = consensus.MaxAppliedChanges/takenPage + 1
 )
 
 // loadRecords reads all records into the values given; those that are not there stay.
@@ -66,10 +66,10 @@
 }
 
 // loadState reads what was decided, and what this voter said about the open slot.
-func loadState(cel *storage.Store, most int) (s consensus.State, b consensus.Ballots, packed []byte, err error) {
+func loadState(cel *storage.Store, most int) (s consensus.State, b consensus.BallotState, packed []byte, err error) {
 	var body BodyRecord
 	var rec BallotRecord
-	pages := make([][]consensus.Taken, takenPages)
+	pages := make([][]consensus.AppliedChange, takenPages)
 	records := map[string]any{recordState: &s, recordBody: &body, recordBallot: &rec}
 	for i := range pages {
 		records[fmt.Sprintf(recordTakenPage, i)] = &pages[i]
@@ -82,14 +82,14 @@
 	}
 	s.Body = body.Body
 	s.Taken = slices.Concat(pages...)
-	slices.SortFunc(s.Taken, func(a, b consensus.Taken) int { return int(a.Slot - b.Slot) })
-	s.Taken = s.Taken[max(0, len(s.Taken)-consensus.TakenKept):]
+	slices.SortFunc(s.Taken, func(a, b consensus.AppliedChange) int { return int(a.Slot - b.Slot) })
+	s.Taken = s.Taken[max(0, len(s.Taken)-consensus.MaxAppliedChanges):]
 	if v := rec.Value; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
 		if v.Body, err = UnpackDelta(s.Body, rec.Packed, most); err != nil {
 			return s, b, nil, errors.New("record " + recordBallot + " on disk can't be read: " + err.Error())
 		}
 	}
-	return s, rec.Ballots, rec.Packed, nil
+	return s, rec.BallotState, rec.Packed, nil
 }
 
 // stateRecords gives the records of a state that changed since the one with
@@ -119,7 +119,7 @@
 	h.store.PutAll(stateRecords(s, version, seq), func(err error) {
 		h.loop.Submit(func() {
 			if err == nil {
-				h.acceptor.StateSynced(s.Slot)
+				h.acceptor.MarkStateDurable(s.Slot)
 				h.wakeDurabilityWaiters()
 				return
 			}
@@ -127,7 +127,7 @@
 			h.lastWrite.version, h.lastWrite.takenSeq = min(h.lastWrite.version, version), min(h.lastWrite.takenSeq, seq)
 			time.AfterFunc(h.host.heartbeat(0.1), func() {
 				h.loop.Submit(func() {
-					if h.acceptor.StateKept() < h.acceptor.State.Slot {
+					if h.acceptor.DurableSlot() < h.acceptor.State.Slot {
 						h.persistState()
 					}
 				})
@@ -139,7 +139,7 @@
 // wakeDurabilityWaiters answers those that wait for the state to be on disk; it runs on the desk.
 func (h *ControlServer) wakeDurabilityWaiters() {
 	h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(w durabilityWaiter) bool {
-		if w.slot > h.acceptor.StateKept() {
+		if w.slot > h.acceptor.DurableSlot() {
 			return false
 		}
 		close(w.done)
@@ -157,7 +157,7 @@
 func (h *ControlServer) waitDurable() (slot int64) {
 	w := durabilityWaiter{done: make(chan struct{})}
 	h.loop.Call(func() {
-		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.StateKept() {
+		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.DurableSlot() {
 			close(w.done)
 			return
 		}
@@ -169,7 +169,7 @@
 	case <-h.host.stop:
 	}
 	h.loop.Call(func() {
-		slot = h.acceptor.StateKept()
+		slot = h.acceptor.DurableSlot()
 		h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(x durabilityWaiter) bool { return x.done == w.done })
 	})
 	return slot
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -84,7 +84,7 @@
 			h.rollouts.clock.Hear(r.N, time.Duration(r.SpentMs)*time.Millisecond, now)
 			h.persistTerms(now)
 		}
-		if r.Phase == consensus.Canary {
+		if r.Phase == consensus.PhaseCanary {
 			events.Log(events.RolloutAccepted, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
 		} else {
 			events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
@@ -213,7 +213,7 @@
 	lag := h.laggingFronts()
 	for _, r := range running {
 		j := h.evaluator(r)
-		j.Loaded = r.Phase != consensus.Canary
+		j.Loaded = r.Phase != consensus.PhaseCanary
 		for _, a := range j.Step(now) {
 			if a.Bad {
 				events.Log(events.CUSUMAlarm, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
@@ -269,7 +269,7 @@
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
 		now, ok := s.Rollout(r.Service)
-		if !ok || now.N != r.N || !now.Running() || now.Phase == r.Phase || !s.Votes(h.acceptor.ID) {
+		if !ok || now.N != r.N || !now.Running() || now.Phase == r.Phase || !s.IsVoter(h.acceptor.ID) {
 			return
 		}
 		if !h.propose(s, &consensus.Value{Rollout: &r}) {
@@ -345,7 +345,7 @@
 		s := h.State()
 		old, known := s.Rollout(o.Service)
 		switch {
-		case known && old.Same(o):
+		case known && old.SameOrder(o):
 			return 200, ""
 		case time.Now().After(until):
 			return 503, "no majority agreed in time"
@@ -369,7 +369,7 @@
 			}
 			continue
 		}
-		if o.From = old.InForce(); !known {
+		if o.From = old.ActiveVersion(); !known {
 			h.loop.Call(func() {
 				if h.table != nil {
 					o.From = h.table.First[o.Service]
@@ -426,7 +426,7 @@
 	out := []RolloutStatus{}
 	h.loop.Call(func() {
 		for _, r := range slices.Backward(s.Rollouts) {
-			x := RolloutStatus{Service: r.Service, State: r.State(), TargetVersion: r.Target, FromVersion: r.From, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.Asked, Of: r.Of, Why: r.Why}
+			x := RolloutStatus{Service: r.Service, State: r.Status(), TargetVersion: r.Target, FromVersion: r.From, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.Asked, Of: r.Of, Why: r.Why}
 			if r.Running() {
 				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.N, h.host.steady()).Seconds())
 			}
--- a/internal/lodge/rollout_test.go
+++ b/internal/lodge/rollout_test.go
@@ -93,7 +93,7 @@
 	}
 	w.stop("1") // the first in the order has the duty
 	w.eventually("completed", func() bool { _, r := w.rollout(2); return r.State == "completed" })
-	w.hold(consensus.Completed)
+	w.hold(consensus.PhaseCompleted)
 	// The old searchers end at once.
 	for _, id := range []string{"plain-a", "plain-b"} {
 		s[id].srv.CloseClientConnections()
@@ -132,7 +132,7 @@
 	}
 	w.eventually("it is asked", func() bool { return news[0].ran()+news[1].ran() > 0 })
 	w.eventually("rolled back", func() bool { _, r := w.rollout(2); return r.State == "rolled_back" })
-	w.hold(consensus.RolledBack)
+	w.hold(consensus.PhaseRolledBack)
 	time.Sleep(300 * time.Millisecond)
 	asked := news[0].ran() + news[1].ran()
 	time.Sleep(500 * time.Millisecond)
@@ -294,7 +294,7 @@
 	defer repeat(3, func(i int) { w.control(i+1, "PUT", "0", configBody(3, "s1")) })()
 	time.Sleep(100 * time.Millisecond)
 	node := w.run(5, false, 1, 2, 3)
-	w.eventually("the fifth votes", func() bool { s := node.hut.State(); return s.Votes(node.hut.acceptor.ID) })
+	w.eventually("the fifth votes", func() bool { s := node.hut.State(); return s.IsVoter(node.hut.acceptor.ID) })
 }
 
 // Without a majority nothing is decided and the new version is left alone;
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -51,7 +51,7 @@
 	st := &ControlStatus{Fronts: map[string]int64{}}
 	h.loop.Call(func() {
 		s, now := h.acceptor.State, h.host.steady()
-		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.Votes(h.acceptor.ID)
+		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.IsVoter(h.acceptor.ID)
 		var silent []time.Duration
 		for _, v := range s.Voters {
 			st.Voters = append(st.Voters, v.ID+"@"+v.IP)
@@ -60,7 +60,7 @@
 		if slices.Sort(silent); len(silent) > 0 {
 			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
 		}
-		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.StateKept(), s.VotersSlot
+		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.DurableSlot(), s.VotersSlot
 		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.Accepted.String()
 		st.Resends, st.Changes = len(s.Taken), s.TakenSeq
 		for _, o := range h.peers {
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -88,7 +88,7 @@
 func (h *ControlServer) watchResponse(m WatchRequest) (say WatchResponse, news bool) {
 	now := h.host.steady()
 	s := h.acceptor.State
-	say = WatchResponse{Zone: h.host.set().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.PurgeFloor()}
+	say = WatchResponse{Zone: h.host.set().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.CompactedPurgeSeq()}
 	say.Around, say.Here = h.frontsAround(m.Zone)
 	say.Lone = h.lacksMajority(now)
 	if m.Roster || m.Hello || s.Slot > m.Slot {
--- a/internal/membership/bivouac_test.go
+++ b/internal/membership/bivouac_test.go
@@ -100,7 +100,7 @@
 			t.Errorf("%s: %v, not %v", x.name, got, x.want)
 		}
 		next := consensus.State{Voters: voters}
-		if placed := got >= Rejoins; placed != next.Votes("n1") || x.out != "" && next.Votes(x.out) {
+		if placed := got >= Rejoins; placed != next.IsVoter("n1") || x.out != "" && next.IsVoter(x.out) {
 			t.Errorf("%s: %v", x.name, voters)
 		}
 	}
@@ -194,40 +194,40 @@
 	run := func(by string, own *consensus.Value, up ...string) *consensus.Proposer {
 		ballots++
 		p := consensus.NewProposer(acc[by].State, consensus.Ballot{N: ballots, By: by}, own)
-		for p.Stage <= consensus.Accepting {
+		for p.Stage <= consensus.StageAccepting {
 			st := p.Stage
 			for _, id := range up {
-				say, _ := acc[id].Take(p.Ask())
-				p.Hear(st, say)
+				say, _ := acc[id].Handle(p.Request())
+				p.OnResponse(st, say)
 				if p.Stage != st {
 					break
 				}
 			}
 			if p.Stage == st {
-				p.Stage = consensus.Outbid
+				p.Stage = consensus.StageAborted
 			}
 		}
 		return p
 	}
 	set := func(ids ...string) *consensus.Value { return &consensus.Value{Voters: state(0, ids...).Voters} }
 	// c1 is cut off and replaced by m1; then b1 is cut off before it learns that, and replaced by n1.
-	if p := run("a1", set("a1", "b1", "m1"), "a1", "b1"); p.Stage != consensus.Chosen {
+	if p := run("a1", set("a1", "b1", "m1"), "a1", "b1"); p.Stage != consensus.StageChosen {
 		t.Fatal("the first change")
 	}
 	next := base.Apply(*set("a1", "b1", "m1"))
 	acc["a1"].Learn(next)
 	acc["m1"].Learn(next)
-	if p := run("a1", set("a1", "n1", "m1"), "a1", "m1"); p.Stage != consensus.Chosen {
+	if p := run("a1", set("a1", "n1", "m1"), "a1", "m1"); p.Stage != consensus.StageChosen {
 		t.Fatal("the second change")
 	}
 	// Both old ones are back, without the others.
 	p := run("c1", &consensus.Value{Version: 9}, "c1", "b1")
-	if p.Stage == consensus.Chosen && !p.Value.Equal(*set("a1", "b1", "m1")) {
+	if p.Stage == consensus.StageChosen && !p.Value.Equal(*set("a1", "b1", "m1")) {
 		t.Fatalf("two old votes chose %+v", p.Value)
 	}
 	acc["c1"].Learn(next)
 	acc["b1"].Learn(next)
-	if p := run("c1", &consensus.Value{Version: 9}, "c1", "b1"); p.Stage == consensus.Chosen {
+	if p := run("c1", &consensus.Value{Version: 9}, "c1", "b1"); p.Stage == consensus.StageChosen {
 		t.Fatal("one without a vote and an old one chose something")
 	}
 }
--- a/internal/membership/place.go
+++ b/internal/membership/place.go
@@ -67,7 +67,7 @@
 	said := map[string]Report{}
 	ahead := false
 	for _, s := range c.VoterReports {
-		if c.Base.Votes(s.ID) {
+		if c.Base.IsVoter(s.ID) {
 			said[s.ID] = s
 			ahead = ahead || s.Slot > c.Base.Slot
 		}
@@ -75,7 +75,7 @@
 	own, judges := said[c.Self]
 	majority := len(c.Base.Voters)/2 + 1
 	switch {
-	case c.Base.Votes(c.Newcomer.ID):
+	case c.Base.IsVoter(c.Newcomer.ID):
 		return nil, AlreadyVoter
 	case !judges || own.Leaving:
 		return nil, EvaluatorIneligible
--- a/internal/rollout/belay_test.go
+++ b/internal/rollout/belay_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	o, e := Defaults(), Exposure{Share: 0.1, Slack: 50}
-	r := consensus.Rollout{N: 1, Service: "s", From: "v1", Target: "v2", DurationMs: 16000, Phase: consensus.Canary}
+	r := consensus.Rollout{N: 1, Service: "s", From: "v1", Target: "v2", DurationMs: 16000, Phase: consensus.PhaseCanary}
 	j := NewJudge(o, 16*time.Second, 0)
 	const tick = 180 * time.Millisecond
 	speeds := []float64{0.8, 1, 1.3, 1}
@@ -50,7 +50,7 @@
 			}
 			if isNew {
 				asked++
-				if p.strain > 0 && (now < lane.TrialUntil || r.Phase == consensus.Promote) {
+				if p.strain > 0 && (now < lane.TrialUntil || r.Phase == consensus.PhasePromote) {
 					slower *= p.strain
 				}
 				if p.bad != nil {
@@ -70,7 +70,7 @@
 			}
 			seen = append(seen, c)
 		}
-		j.Loaded = r.Phase != consensus.Canary
+		j.Loaded = r.Phase != consensus.PhaseCanary
 		j.Add(seen)
 		j.Step(now)
 		s := Decide(Facts{Rollout: r, Spent: now, Since: now - since, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good, Ready: 8, Old: 8, Report: 700 * time.Millisecond, Settle: 2 * time.Second}, o, e)
@@ -118,35 +118,35 @@
 		want  consensus.Phase
 		wrong int
 	}{
-		"good":                          {play{rate: 133}, consensus.Completed, 2},
-		"good, slower while it fills":   {play{rate: 133, strain: 1.9}, consensus.Completed, 2},
-		"good, little traffic":          {play{rate: 8}, consensus.Completed, 2},
-		"good, both versions slow":      {play{rate: 133, world: trouble(0.01, 6)}, consensus.Completed, 2},
-		"good, both lose answers":       {play{rate: 133, world: trouble(0.05, 1)}, consensus.Completed, 2},
-		"good, a searcher that is dark": {play{rate: 133, bad: one(1, 1)}, consensus.Completed, 2},
-		"good, a searcher that is slow": {play{rate: 133, bad: one(0, 8)}, consensus.Completed, 4},
-		"bad by errors":                 {play{rate: 133, bad: always(0.5, 1)}, consensus.RolledBack, 0},
-		"bad by errors, little traffic": {play{rate: 12, bad: always(0.5, 1)}, consensus.RolledBack, 2},
-		"bad by slowness":               {play{rate: 133, bad: half(rand.New(rand.NewPCG(3, 3)))}, consensus.RolledBack, 0},
-		"bad by slowness under load":    {play{rate: 133, strain: 5}, consensus.RolledBack, 2},
+		"good":                          {play{rate: 133}, consensus.PhaseCompleted, 2},
+		"good, slower while it fills":   {play{rate: 133, strain: 1.9}, consensus.PhaseCompleted, 2},
+		"good, little traffic":          {play{rate: 8}, consensus.PhaseCompleted, 2},
+		"good, both versions slow":      {play{rate: 133, world: trouble(0.01, 6)}, consensus.PhaseCompleted, 2},
+		"good, both lose answers":       {play{rate: 133, world: trouble(0.05, 1)}, consensus.PhaseCompleted, 2},
+		"good, a searcher that is dark": {play{rate: 133, bad: one(1, 1)}, consensus.PhaseCompleted, 2},
+		"good, a searcher that is slow": {play{rate: 133, bad: one(0, 8)}, consensus.PhaseCompleted, 4},
+		"bad by errors":                 {play{rate: 133, bad: always(0.5, 1)}, consensus.PhaseRolledBack, 0},
+		"bad by errors, little traffic": {play{rate: 12, bad: always(0.5, 1)}, consensus.PhaseRolledBack, 2},
+		"bad by slowness":               {play{rate: 133, bad: half(rand.New(rand.NewPCG(3, 3)))}, consensus.PhaseRolledBack, 0},
+		"bad by slowness under load":    {play{rate: 133, strain: 5}, consensus.PhaseRolledBack, 2},
 		"bad late": {play{rate: 133, bad: func(at time.Duration, _ int, _ string) (float64, float64) {
 			if at > 4*time.Second {
 				return 0.5, 1
 			}
 			return 0, 1
-		}}, consensus.RolledBack, 0},
+		}}, consensus.PhaseRolledBack, 0},
 		"bad on one route": {play{rate: 133, bad: func(_ time.Duration, _ int, route string) (float64, float64) {
 			if route == "b" {
 				return 0.5, 1
 			}
 			return 0, 1
-		}}, consensus.RolledBack, 0},
+		}}, consensus.PhaseRolledBack, 0},
 		"bad under load": {play{rate: 133, bad: func(at time.Duration, _ int, _ string) (float64, float64) {
 			if at > 8*time.Second {
 				return 0.5, 1
 			}
 			return 0, 1
-		}}, consensus.RolledBack, 0},
+		}}, consensus.PhaseRolledBack, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const runs = 100
@@ -156,7 +156,7 @@
 				if phase != x.want {
 					wrong++
 				}
-				if phase == consensus.RolledBack {
+				if phase == consensus.PhaseRolledBack {
 					most = max(most, asked)
 				}
 				latest = max(latest, at)
@@ -165,7 +165,7 @@
 			if wrong > x.wrong {
 				t.Errorf("%d of %d do not end as %s", wrong, runs, x.want)
 			}
-			if bound := 0.1*x.p.rate*16 + 50; x.want == consensus.RolledBack && float64(most) > bound {
+			if bound := 0.1*x.p.rate*16 + 50; x.want == consensus.PhaseRolledBack && float64(most) > bound {
 				t.Errorf("%d requests went to a bad version, of %v allowed", most, bound)
 			}
 		})
@@ -188,9 +188,9 @@
 		for range 300 {
 			learns := begins + time.Duration(rnd.Float64()*float64(400*time.Millisecond))
 			for at := time.Duration(0); at < term; at += time.Duration(rnd.ExpFloat64() * 300 / rate * float64(time.Second)) {
-				l := &Lane{From: "a", Target: "b", Phase: consensus.Canary, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: learns + trial}
+				l := &Lane{From: "a", Target: "b", Phase: consensus.PhaseCanary, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: learns + trial}
 				if at > learns {
-					l.Phase = consensus.Trial
+					l.Phase = consensus.PhaseTrial
 				}
 				all++
 				if l.Way(at, 0, time.Second, rnd.Float64()).Once != "" {
@@ -213,23 +213,23 @@
 		want   Way
 	}{
 		{"", 0, false, 0, Way{Then: "old"}},
-		{consensus.Canary, 0, false, 0.05, Way{Once: "new", Then: "old"}},
-		{consensus.Canary, 0, false, 0.07, Way{Then: "old"}},
-		{consensus.Canary, 3, false, 0, Way{Then: "old"}}, // hears of no majority
-		{consensus.Canary, 0, true, 0, Way{Then: "old"}},
-		{consensus.Trial, 0, false, 0.8, Way{Once: "new", Then: "old"}},
-		{consensus.Trial, 3, false, 0.8, Way{Then: "old"}},
-		{consensus.Promote, 0, true, 0, Way{Then: "new", Else: "old"}},
-		{consensus.Promote, 9, false, 0, Way{Then: "old", Else: "new"}},
-		{consensus.Completed, 9, false, 0, Way{Then: "new"}},
-		{consensus.RolledBack, 0, false, 0, Way{Then: "old"}},
+		{consensus.PhaseCanary, 0, false, 0.05, Way{Once: "new", Then: "old"}},
+		{consensus.PhaseCanary, 0, false, 0.07, Way{Then: "old"}},
+		{consensus.PhaseCanary, 3, false, 0, Way{Then: "old"}}, // hears of no majority
+		{consensus.PhaseCanary, 0, true, 0, Way{Then: "old"}},
+		{consensus.PhaseTrial, 0, false, 0.8, Way{Once: "new", Then: "old"}},
+		{consensus.PhaseTrial, 3, false, 0.8, Way{Then: "old"}},
+		{consensus.PhasePromote, 0, true, 0, Way{Then: "new", Else: "old"}},
+		{consensus.PhasePromote, 9, false, 0, Way{Then: "old", Else: "new"}},
+		{consensus.PhaseCompleted, 9, false, 0, Way{Then: "new"}},
+		{consensus.PhaseRolledBack, 0, false, 0, Way{Then: "old"}},
 	} {
 		l := &Lane{From: "old", Target: "new", Phase: x.phase, Share: 0.06, Trial: 0.9, TrialUntil: 5, Halted: x.halted}
 		if got := l.Way(1, x.heard, 2, x.coin); got != x.want {
 			t.Errorf("%+v: %+v", x, got)
 		}
 	}
-	l := &Lane{From: "old", Target: "new", Phase: consensus.Trial, Share: 0.06, Trial: 0.9, TrialUntil: 5}
+	l := &Lane{From: "old", Target: "new", Phase: consensus.PhaseTrial, Share: 0.06, Trial: 0.9, TrialUntil: 5}
 	if l.Way(6, 0, 2, 0.8).Once != "" || l.Way(6, 0, 2, 0.05).Once == "" {
 		t.Error("a trial that is over leaves another share than the canary's")
 	}
@@ -244,19 +244,19 @@
 		change func(f *Facts)
 		want   consensus.Phase
 	}{
-		"too early":              {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.Canary, 7*time.Second }, ""},
-		"trial":                  {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.Canary, 10*time.Second }, consensus.Trial},
-		"no searchers yet":       {func(f *Facts) { f.Rollout.Phase, f.Spent, f.Ready = consensus.Canary, 10*time.Second, 3 }, ""},
-		"an alarm":               {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.Canary, "x" }, consensus.RolledBack},
-		"an alarm while moving":  {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.Promote, "x" }, consensus.RolledBack},
-		"the term is over":       {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.Trial, 16*time.Second }, consensus.RolledBack},
-		"it moves at the term":   {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.Promote, 16*time.Second }, consensus.Completed},
-		"reports are on the way": {func(f *Facts) { f.Rollout.Phase, f.Since = consensus.Trial, 500*time.Millisecond }, ""},
-		"none was answered":      {func(f *Facts) { f.Rollout.Phase, f.Good = consensus.Trial, 0 }, ""},
-		"promote":                {func(f *Facts) { f.Rollout.Phase = consensus.Trial }, consensus.Promote},
-		"fronts lag behind":      {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.Promote, 1500*time.Millisecond, 1 }, ""},
-		"lagging fronts give up": {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.Promote, 2*time.Second, 1 }, consensus.Completed},
-		"settled":                {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.Completed, "x" }, ""},
+		"too early":              {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhaseCanary, 7*time.Second }, ""},
+		"trial":                  {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhaseCanary, 10*time.Second }, consensus.PhaseTrial},
+		"no searchers yet":       {func(f *Facts) { f.Rollout.Phase, f.Spent, f.Ready = consensus.PhaseCanary, 10*time.Second, 3 }, ""},
+		"an alarm":               {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhaseCanary, "x" }, consensus.PhaseRolledBack},
+		"an alarm while moving":  {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhasePromote, "x" }, consensus.PhaseRolledBack},
+		"the term is over":       {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhaseTrial, 16*time.Second }, consensus.PhaseRolledBack},
+		"it moves at the term":   {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhasePromote, 16*time.Second }, consensus.PhaseCompleted},
+		"reports are on the way": {func(f *Facts) { f.Rollout.Phase, f.Since = consensus.PhaseTrial, 500*time.Millisecond }, ""},
+		"none was answered":      {func(f *Facts) { f.Rollout.Phase, f.Good = consensus.PhaseTrial, 0 }, ""},
+		"promote":                {func(f *Facts) { f.Rollout.Phase = consensus.PhaseTrial }, consensus.PhasePromote},
+		"fronts lag behind":      {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.PhasePromote, 1500*time.Millisecond, 1 }, ""},
+		"lagging fronts give up": {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.PhasePromote, 2*time.Second, 1 }, consensus.PhaseCompleted},
+		"settled":                {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhaseCompleted, "x" }, ""},
 	} {
 		f := good
 		x.change(&f)
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -50,17 +50,17 @@
 	case !f.Rollout.Running():
 		return Step{}
 	case f.Bad != "":
-		return Step{Phase: consensus.RolledBack, Why: f.Bad}
-	case phase != consensus.Promote && f.Spent >= time.Duration(last*float64(term)):
-		return Step{Phase: consensus.RolledBack, Why: "not found good by its term"}
+		return Step{Phase: consensus.PhaseRolledBack, Why: f.Bad}
+	case phase != consensus.PhasePromote && f.Spent >= time.Duration(last*float64(term)):
+		return Step{Phase: consensus.PhaseRolledBack, Why: "not found good by its term"}
 	}
 	switch phase {
-	case consensus.Canary:
+	case consensus.PhaseCanary:
 		if f.Spent < time.Duration(o.TrialAt*float64(term)) || 2*f.Ready < f.Old || f.Ready == 0 {
 			return Step{}
 		}
-		return Step{Phase: consensus.Trial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
-	case consensus.Trial:
+		return Step{Phase: consensus.PhaseTrial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
+	case consensus.PhaseTrial:
 		if f.Since < time.Duration(f.Rollout.ForMs)*time.Millisecond+f.Report || f.Ready == 0 {
 			return Step{}
 		}
@@ -68,10 +68,10 @@
 		if seen := f.Rate * f.Since.Seconds(); seen >= 8 && f.Good == 0 {
 			return Step{}
 		}
-		return Step{Phase: consensus.Promote, Why: "nothing found against it under load"}
-	case consensus.Promote:
+		return Step{Phase: consensus.PhasePromote, Why: "nothing found against it under load"}
+	case consensus.PhasePromote:
 		if f.Since >= f.Report && f.Behind == 0 || f.Since >= f.Settle {
-			return Step{Phase: consensus.Completed}
+			return Step{Phase: consensus.PhaseCompleted}
 		}
 	}
 	return Step{}
--- a/internal/rollout/lane.go
+++ b/internal/rollout/lane.go
@@ -37,16 +37,16 @@
 	}
 	listens := heard < deaf
 	switch l.Phase {
-	case consensus.Completed:
+	case consensus.PhaseCompleted:
 		return Way{Then: l.Target}
-	case consensus.Promote:
+	case consensus.PhasePromote:
 		if heard < 2*deaf {
 			return Way{Then: l.Target, Else: l.From}
 		}
 		return Way{Then: l.From, Else: l.Target}
-	case consensus.Canary, consensus.Trial:
+	case consensus.PhaseCanary, consensus.PhaseTrial:
 		share := l.Share
-		if l.Phase == consensus.Trial && now < l.TrialUntil {
+		if l.Phase == consensus.PhaseTrial && now < l.TrialUntil {
 			share = l.Trial
 		}
 		if listens && !l.Halted && coin < share {
@@ -58,7 +58,7 @@
 
 // Settled tells that the way rests on no clock and no coin.
 func (l *Lane) Settled() bool {
-	return l.Phase == "" || l.Phase == consensus.Completed || l.Phase == consensus.RolledBack
+	return l.Phase == "" || l.Phase == consensus.PhaseCompleted || l.Phase == consensus.PhaseRolledBack
 }
 
 // Versions lists those that may hold slots, the one in force first.
@@ -66,11 +66,11 @@
 	switch {
 	case l == nil:
 		return nil
-	case l.Phase == consensus.Completed:
+	case l.Phase == consensus.PhaseCompleted:
 		return []string{l.Target}
-	case l.Phase == consensus.Promote:
+	case l.Phase == consensus.PhasePromote:
 		return []string{l.Target, l.From}
-	case l.Phase == consensus.Canary || l.Phase == consensus.Trial:
+	case l.Phase == consensus.PhaseCanary || l.Phase == consensus.PhaseTrial:
 		return []string{l.From, l.Target}
 	}
 	return []string{l.From}
