--- a/internal/config/configuration_validate.go
+++ b/internal/config/configuration_validate.go
@@ -9,7 +9,7 @@
 // validate returns the first error of a configuration.
 func (c *Configuration) validate() error {
 	if c.Version <= 0 {
-		return errors.New("Version must be above 0")
+		return fieldError("Version", "must be above 0")
 	}
 	services := map[string]bool{}
 	for _, s := range c.Services {
@@ -36,7 +36,7 @@
 		matches[m] = true
 	}
 	if l := c.Limits; l != nil && (l.HeaderSizeBytes < 0 || l.BodySizeBytes < 0 || l.HeaderTimeoutMs < 0 || l.IdleTimeoutMs < 0) {
-		return errors.New("Limits must not be negative")
+		return fieldError("Limits", "must not be negative")
 	}
 	return nil
 }
@@ -45,7 +45,7 @@
 // name.
 func (r *Route) validate(services map[string]bool) error {
 	if r.HostName == "" {
-		return errors.New("HostName is missing")
+		return fieldError("HostName", "is missing")
 	}
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		return fmt.Errorf("PathPrefix %q must begin and end with a slash", r.PathPrefix)
@@ -56,7 +56,7 @@
 		return fmt.Errorf("RouteKind %q is none of safe, cached and unsafe", r.RouteKind)
 	}
 	if r.TimeoutMs <= 0 {
-		return errors.New("TimeoutMs must be above 0")
+		return fieldError("TimeoutMs", "must be above 0")
 	}
 	if r.TargetLatencyMs < 0 || r.Attempts < 0 || r.TopRecords < 0 || r.MinimumShare < 0 || r.MinimumShare > 1 || r.Priority < 0 || r.CacheLifetimeS < 0 {
 		return errors.New("a number is out of its range")
@@ -129,3 +129,8 @@
 func unknownService(name string) error {
 	return fmt.Errorf("unknown service %q", name)
 }
+
+// fieldError says what is wrong with a field of an operator's request.
+func fieldError(field, problem string) error {
+	return fmt.Errorf("%s %s", field, problem)
+}
--- a/internal/config/delta.go
+++ b/internal/config/delta.go
@@ -21,18 +21,18 @@
 // false where that can't be done: a list has items without a name, or two of
 // the same name.
 func Diff(from, to []byte) (Delta, bool) {
-	oldItems, err := splitConfiguration(from)
+	oldParts, err := splitConfiguration(from)
 	if err != nil {
 		return Delta{}, false
 	}
-	newItems, err := splitConfiguration(to)
+	newParts, err := splitConfiguration(to)
 	if err != nil {
 		return Delta{}, false
 	}
-	changes := newItems.otherFields
+	changes := newParts.otherFields
 	removed := map[string][]string{}
 	for _, list := range namedLists {
-		oldList, newList := oldItems.lists[list], newItems.lists[list]
+		oldList, newList := oldParts.lists[list], newParts.lists[list]
 		changed := []json.RawMessage{}
 		for _, name := range newList.order {
 			if item := newList.byName[name]; !bytes.Equal(oldList.byName[name], item) {
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -20,17 +20,17 @@
 	byName map[string]json.RawMessage
 }
 
-// splitFields is a configuration in JSON: its lists of named items, by key, and
+// configurationParts is a configuration in JSON: its lists of named items, by key, and
 // everything else.
-type splitFields struct {
+type configurationParts struct {
 	lists       map[string]itemList
 	otherFields map[string]json.RawMessage
 }
 
 // splitConfiguration takes a configuration apart. Fields and items keep the
 // bytes that they came with, also those that this version doesn't know.
-func splitConfiguration(raw []byte) (splitFields, error) {
-	s := splitFields{lists: map[string]itemList{}}
+func splitConfiguration(raw []byte) (configurationParts, error) {
+	s := configurationParts{lists: map[string]itemList{}}
 	if err := json.Unmarshal(raw, &s.otherFields); err != nil {
 		return s, err
 	}
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -2,13 +2,13 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"slices"
 )
 
-// Patch is an operator's change to named items of a configuration. It is a merge patch at the level of items: an item
-// replaces the one of its name as a whole.
+// Patch is an operator's change to named items of a configuration. It is a
+// merge patch at the level of items: an item replaces the one of its name as a
+// whole.
 type Patch struct {
 	// Version is that of the configuration after the patch.
 	Version int64 `json:"Version"`
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	if p.Version <= 0 {
-		return nil, errors.New("Version must be above 0")
+		return nil, fieldError("Version", "must be above 0")
 	}
 	for list, items := range p.SetItems {
 		if !slices.Contains(namedLists, list) {
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -1,9 +1,6 @@
 package config
 
-import (
-	"errors"
-	"fmt"
-)
+import "fmt"
 
 const (
 	// maxRolloutSeconds is the longest duration of a rollout: 30 days.
@@ -35,7 +32,7 @@
 	}
 	switch {
 	case r.Service == nil || *r.Service == "":
-		return RolloutRequest{}, errors.New("Service is missing")
+		return RolloutRequest{}, fieldError("Service", "is missing")
 	case r.TargetVersion == nil || *r.TargetVersion == "" || len(*r.TargetVersion) > maxVersionBytes:
 		return RolloutRequest{}, fmt.Errorf("TargetVersion must have from 1 to %d bytes", maxVersionBytes)
 	case r.DurationS == nil || *r.DurationS <= 0 || *r.DurationS > maxRolloutSeconds:
