--- /dev/null
+++ b/internal/membership/drain.go
@@ -0,0 +1,28 @@
+package membership
+
+// DrainProgress is how far a draining node has handed over what it holds.
+type DrainProgress struct {
+	// ProposalPending tells whether the node accepted a value whose outcome it
+	// does not know.
+	ProposalPending bool
+	// IsVoter tells whether the node is a voter, and StandbyAvailable whether a
+	// node that stays could take its place.
+	IsVoter          bool
+	StandbyAvailable bool
+	// StayingNodes is how many other nodes stay; of these, StateReplicas have
+	// this node's agreed state and TableReplicas its table.
+	StateReplicas int
+	TableReplicas int
+	StayingNodes  int
+	// ToleratedFailures is how many nodes may fail without loss of data.
+	ToleratedFailures int
+}
+
+// Complete tells whether everything that the node holds is on enough nodes
+// that stay, and its vote passed on.
+func (p DrainProgress) Complete() bool {
+	replicas := min(p.ToleratedFailures+1, p.StayingNodes)
+	replicated := p.StateReplicas >= replicas && p.TableReplicas >= replicas
+	votePassedOn := !p.IsVoter || !p.StandbyAvailable
+	return replicated && votePassedOn && !p.ProposalPending
+}
