--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"strconv"
 	"sync"
 	"time"
@@ -10,120 +11,182 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// Client calls other nodes, keeping a few connections to each.
+// headRoom is the size of a request's head in most calls, in bytes.
+const headRoom = 256
+
+// Client calls other nodes and keeps a few idle connections to each. It is
+// safe for concurrent use. No request is sent twice: whether a call may be
+// repeated is for the caller to know.
 type Client struct {
-	mu          sync.Mutex
-	idle        map[string][]*Conn
-	keep        int
-	idleFor     time.Duration
-	userTimeout time.Duration
-	maxBody     int
+	maxIdlePerNode int
+	idleTimeout    time.Duration
+	tcpUserTimeout time.Duration
+	maxBodyBytes   int
+
+	mu sync.Mutex
+	// idle are the connections by address, the one used last at the end.
+	idle map[string][]*Conn
 }
 
-// NewClient makes a client. idleFor bounds how long a connection is kept.
-func NewClient(keep int, idleFor, userTimeout time.Duration, maxBody int) *Client {
-	return &Client{idle: map[string][]*Conn{}, keep: keep, idleFor: idleFor, userTimeout: userTimeout, maxBody: maxBody}
+// NewClient returns a client that keeps up to maxIdlePerNode connections to
+// each address, for no longer than idleTimeout. tcpUserTimeout is after how
+// long without an acknowledgement a connection is broken.
+func NewClient(maxIdlePerNode int, idleTimeout, tcpUserTimeout time.Duration, maxBodyBytes int) *Client {
+	return &Client{
+		maxIdlePerNode: maxIdlePerNode,
+		idleTimeout:    idleTimeout,
+		tcpUserTimeout: tcpUserTimeout,
+		maxBodyBytes:   maxBodyBytes,
+		idle:           map[string][]*Conn{},
+	}
 }
 
-// Response is an answer of another node.
+// Response is what a node answered; it is a copy that its receiver owns.
 type Response struct {
 	Status int
 	Body   []byte
-	Header func(name string) string
+	header map[string]string
+}
+
+// Header returns a header by its name in canonical form (Retry-After), empty
+// where it is missing.
+func (r Response) Header(name string) string { return r.header[name] }
+
+// Err returns a *StatusError unless the status is 200.
+func (r Response) Err() error {
+	if r.Status == http.StatusOK {
+		return nil
+	}
+	e := &StatusError{Status: r.Status}
+	var body errorBody
+	if json.Unmarshal(r.Body, &body) == nil {
+		e.Message = body.Error
+	}
+	return e
+}
+
+// StatusError is the error of a call that was answered with another status
+// than 200.
+type StatusError struct {
+	Status int
+	// Message is the reason that the response named, empty if it named none.
+	Message string
+}
+
+func (e *StatusError) Error() string {
+	if e.Message == "" {
+		return fmt.Sprintf("status %d", e.Status)
+	}
+	return fmt.Sprintf("status %d: %s", e.Status, e.Message)
 }
 
-func (c *Client) take(addr string, now time.Time) *Conn {
+// Do sends a request to addr (host:port) and returns the response, of any
+// status. It takes no longer than timeout.
+func (c *Client) Do(addr, method, path string, headers map[string]string, body []byte, timeout time.Duration) (Response, error) {
+	start := time.Now()
+	deadline := start.Add(timeout)
+	conn := c.takeIdle(addr, start)
+	if conn == nil {
+		var err error
+		if conn, err = Dial(addr, min(timeout, c.tcpUserTimeout), c.tcpUserTimeout); err != nil {
+			return Response{}, err
+		}
+	}
+	parsed := protocol.AcquireResponse()
+	defer protocol.ReleaseResponse(parsed)
+	request := appendRequest(addr, method, path, headers, body)
+	if _, err := conn.Exchange(request, deadline, false, c.maxBodyBytes, parsed); err != nil {
+		conn.Close()
+		return Response{}, err
+	}
+	response := copyResponse(parsed)
+	if parsed.ConnectionClose() || conn.HasSurplus() {
+		conn.Close()
+	} else {
+		c.putIdle(addr, conn, time.Now())
+	}
+	return response, nil
+}
+
+// CallJSON posts in as JSON and decodes the response into out, unless out is
+// nil. A status other than 200 is a *StatusError.
+func (c *Client) CallJSON(addr, path string, in, out any, timeout time.Duration) error {
+	body, err := json.Marshal(in)
+	if err != nil {
+		return err
+	}
+	response, err := c.Do(addr, http.MethodPost, path, nil, body, timeout)
+	if err != nil {
+		return err
+	}
+	if err := response.Err(); err != nil {
+		return err
+	}
+	if out == nil {
+		return nil
+	}
+	return json.Unmarshal(response.Body, out)
+}
+
+// takeIdle returns the connection to addr that was used last, nil if none of
+// them can be used any more. Those are closed.
+func (c *Client) takeIdle(addr string, now time.Time) *Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		l := c.idle[addr]
-		if len(l) == 0 {
+		idle := c.idle[addr]
+		if len(idle) == 0 {
 			return nil
 		}
-		cn := l[len(l)-1]
-		c.idle[addr] = l[:len(l)-1]
-		if now.Sub(cn.IdleSince) < c.idleFor && cn.Reusable() {
-			return cn
+		conn := idle[len(idle)-1]
+		c.idle[addr] = idle[:len(idle)-1]
+		if now.Sub(conn.IdleSince) < c.idleTimeout && conn.Reusable() {
+			return conn
 		}
-		cn.Close()
+		conn.Close()
 	}
 }
 
-func (c *Client) put(addr string, cn *Conn, now time.Time) {
-	cn.IdleSince = now
+// putIdle keeps a connection for the next call, or closes it.
+func (c *Client) putIdle(addr string, conn *Conn, now time.Time) {
+	conn.IdleSince = now
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.keep {
-		cn.Close()
+	if len(c.idle[addr]) >= c.maxIdlePerNode {
+		conn.Close()
 		return
 	}
-	c.idle[addr] = append(c.idle[addr], cn)
+	c.idle[addr] = append(c.idle[addr], conn)
 }
 
-// Do sends a request to addr (host:port) and waits for the answer at most
-// for the time given. Nothing is sent twice.
-func (c *Client) Do(addr, method, path string, headers map[string]string, body []byte, within time.Duration) (Response, error) {
-	start := time.Now()
-	deadline := start.Add(within)
-	cn := c.take(addr, start)
-	if cn == nil {
-		var err error
-		if cn, err = Dial(addr, min(within, c.userTimeout), c.userTimeout); err != nil {
-			return Response{}, err
-		}
-	}
-	b := make([]byte, 0, 256+len(body))
+// appendRequest returns the bytes of a request.
+func appendRequest(addr, method, path string, headers map[string]string, body []byte) []byte {
+	b := make([]byte, 0, headRoom+len(body))
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, addr...)
-	for k, v := range headers {
+	for name, value := range headers {
 		b = append(b, "\r\n"...)
-		b = append(b, k...)
+		b = append(b, name...)
 		b = append(b, ": "...)
-		b = append(b, v...)
+		b = append(b, value...)
 	}
-	if len(body) > 0 || method != "GET" {
+	if len(body) > 0 || method != http.MethodGet {
 		b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	b = append(b, body...)
-	out := protocol.AcquireResponse()
-	defer protocol.ReleaseResponse(out)
-	if _, err := cn.Exchange(b, deadline, false, c.maxBody, out); err != nil {
-		cn.Close()
-		return Response{}, err
-	}
-	rep := Response{Status: out.StatusCode(), Body: append([]byte(nil), out.Body()...)}
-	hdr := map[string]string{}
-	out.Header.VisitAll(func(k, v []byte) { hdr[string(k)] = string(v) })
-	rep.Header = func(name string) string { return hdr[name] }
-	if out.ConnectionClose() || cn.HasSurplus() {
-		cn.Close()
-	} else {
-		c.put(addr, cn, time.Now())
-	}
-	return rep, nil
+	return append(b, body...)
 }
 
-// CallJSON sends in as JSON and reads the answer into out. A status other than
-// 200 is an error.
-func (c *Client) CallJSON(addr, path string, in, out any, within time.Duration) error {
-	body, err := json.Marshal(in)
-	if err != nil {
-		return err
-	}
-	rep, err := c.Do(addr, "POST", path, nil, body, within)
-	if err != nil {
-		return err
-	}
-	if rep.Status != 200 {
-		return fmt.Errorf("status %d", rep.Status)
-	}
-	if out == nil {
-		return nil
+func copyResponse(parsed *protocol.Response) Response {
+	header := map[string]string{}
+	parsed.Header.VisitAll(func(name, value []byte) { header[string(name)] = string(value) })
+	return Response{
+		Status: parsed.StatusCode(),
+		Body:   append([]byte(nil), parsed.Body()...),
+		header: header,
 	}
-	return json.Unmarshal(rep.Body, out)
 }
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,6 +1,8 @@
-// Package rope ties nodes together: HTTP/1.1 with JSON over kept
-// connections, every step of them bounded in time. It holds the plain
-// connection that traverse uses towards searchers, the client with which
-// nodes call each other, and the server settings that all listeners share.
-// In the field's terms: the RPC layer and HTTP transport.
+// Package transport carries calls between nodes, as HTTP/1.1 with JSON bodies
+// over persistent connections, every step of them bounded in time.
+//
+// Client is what nodes call each other with, Conn the plain connection beneath
+// it, which package upstream uses towards searchers, and Serve the settings
+// that all listeners share. A response whose end is in doubt is an error, and
+// so are bytes that no request asked for: neither ever reaches another request.
 package transport
--- /dev/null
+++ b/internal/transport/socket.go
@@ -0,0 +1,40 @@
+package transport
+
+import (
+	"net"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// controlTCPUserTimeout returns a Control function for dialers and listeners
+// that sets TCP_USER_TIMEOUT: a connection breaks once sent bytes have gone
+// without an acknowledgement for that long, rather than after the many minutes
+// of TCP's own retries.
+func controlTCPUserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
+	return func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { setTCPUserTimeout(fd, timeout) })
+	}
+}
+
+// setTCPUserTimeoutOn sets TCP_USER_TIMEOUT on a connection that a listener
+// accepted.
+func setTCPUserTimeoutOn(conn net.Conn, timeout time.Duration) {
+	if tracked, ok := conn.(*trackedConn); ok {
+		conn = tracked.Conn
+	}
+	socket, ok := conn.(syscall.Conn)
+	if !ok {
+		return
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(fd uintptr) { setTCPUserTimeout(fd, timeout) })
+}
+
+func setTCPUserTimeout(fd uintptr, timeout time.Duration) {
+	_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
+}
