--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -100,7 +100,7 @@
 		return Response{}, err
 	}
 	response := copyResponse(parsed)
-	if parsed.ConnectionClose() || conn.HasSurplus() {
+	if parsed.ConnectionClose() || conn.HasUnsolicited() {
 		conn.Close()
 	} else {
 		c.putIdle(addr, conn, time.Now())
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -39,7 +39,7 @@
 // body. sent reports whether any byte may have gone out. After an error the
 // connection must be closed.
 func (c *Conn) Exchange(request []byte, deadline time.Time, isHead bool, maxBodyBytes int, out *protocol.Response) (sent bool, err error) {
-	if c.HasSurplus() {
+	if c.HasUnsolicited() {
 		return false, ErrUnsolicited
 	}
 	if err := c.SetDeadline(deadline); err != nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-// HasSurplus reports whether more bytes were read than the response holds.
-func (c *Conn) HasSurplus() bool { return c.in.Len() > 0 }
+// HasUnsolicited reports whether more bytes were read than the response holds.
+func (c *Conn) HasUnsolicited() bool { return c.in.Len() > 0 }
 
 // Reusable reports whether an idle connection is open with nothing to read.
 func (c *Conn) Reusable() bool {
@@ -98,7 +98,7 @@
 // CheckIdle reports whether an idle connection is open with nothing to read,
 // and whether bytes came that no request asked for. It doesn't block.
 func (c *Conn) CheckIdle() (reusable, unsolicited bool) {
-	if c.HasSurplus() {
+	if c.HasUnsolicited() {
 		return false, true
 	}
 	socket, ok := c.Conn.(syscall.Conn)
--- a/internal/upstream/traverse.go
+++ b/internal/upstream/traverse.go
@@ -521,7 +521,7 @@
 	}
 	g.note(p, out)
 	switch {
-	case c.HasSurplus():
+	case c.HasUnsolicited():
 		g.doubt(p, time.Now())
 		c.Close()
 	case out.ConnectionClose():
