--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -35,8 +35,8 @@
 
 	leaseDuration time.Duration
 	startedAt     time.Duration
-	// incarnation numbers this life of the process. It is 0 as long as the
-	// number is not on disk; until then no request may bear it.
+	// incarnation numbers the starts of this node's process. It is 0 until the
+	// number is on disk; before that no request may bear it.
 	incarnation int64
 
 	// votersSlot is the log slot that decided the voters. order lists them in
@@ -76,7 +76,7 @@
 	}
 }
 
-// SetIncarnation sets the number of this life of the process, once it is on disk.
+// SetIncarnation sets the number of this start of the process, once it is on disk.
 func (c *Candidate) SetIncarnation(incarnation int64) { c.incarnation = incarnation }
 
 // SetVoters sets the agreed voters, most preferred holder first. A lease
--- a/internal/lease/simulated_node_test.go
+++ b/internal/lease/simulated_node_test.go
@@ -33,23 +33,23 @@
 	running     bool
 	pausedUntil time.Duration
 	clockOffset time.Duration
-	// life tells the lives of the process apart in the simulation; unlike the
-	// incarnation it also grows when the process is killed.
-	life      int
+	// process numbers the processes of the node in the simulation; unlike the
+	// incarnation it also grows when a process is killed.
+	process   int
 	voter     *Voter
 	candidate *Candidate
 	voterSet  voterSet
 	table     simulatedTable
-	// lastSync is the last write of this life that is on disk.
+	// lastSync is the last write of this process that is on disk.
 	lastSync int64
 }
 
 func (n *simulatedNode) isVoter() bool { return slices.Contains(n.voterSet.voters, n.disk.id) }
 
-// start begins a life of a node from its disk.
+// start starts the process of a node from its disk.
 func (m *simulation) start(node int) {
 	n := m.nodes[node]
-	n.life++
+	n.process++
 	n.running, n.pausedUntil, n.lastSync = true, 0, 0
 	n.disk.incarnation++
 	n.voterSet, n.table = n.disk.voterSet, n.disk.table
@@ -128,7 +128,7 @@
 
 // sendRequest sends a request to a voter; the response leaves once the grant is on disk.
 func (m *simulation) sendRequest(from, to int, request Request) {
-	sent, life := m.clock(from), m.nodes[from].life
+	sent, process := m.clock(from), m.nodes[from].process
 	m.call(from, to, func() {
 		v := m.nodes[to]
 		v.voter.SetReconfigurationPending(v.disk.accepted != nil && m.fault != renewWhileReconfiguring)
@@ -139,7 +139,7 @@
 			}
 		}
 		respond := func() {
-			if m.nodes[from].life == life {
+			if m.nodes[from].process == process {
 				m.respond(to, from, func() { m.handleResponse(from, request, response, sent) })
 			}
 		}
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -18,11 +18,11 @@
 	at time.Duration
 	// sequence orders events of one time by their scheduling.
 	sequence int
-	// node is the index of the node whose process runs it, and life the life
-	// of that process; events of a paused process wait, those of an earlier life
-	// are dropped. Of nobody's events neither is true.
-	node, life int
-	run        func()
+	// node is the index of the node that runs it, and process which of its
+	// processes. Events of a paused process wait, those of an earlier process
+	// are dropped; neither holds for the events of nobody.
+	node, process int
+	run           func()
 }
 
 // eventQueue is a heap of events, earliest first.
@@ -145,32 +145,32 @@
 	return d
 }
 
-// schedule queues what the present life of a node, or nobody, does after d.
+// schedule queues what the present process of a node, or nobody, does after d.
 func (m *simulation) schedule(d time.Duration, node int, run func()) {
 	e := simulatedEvent{at: m.now + d, sequence: m.sequence, node: node, run: run}
 	if node != nobody {
-		e.life = m.nodes[node].life
+		e.process = m.nodes[node].process
 	}
 	m.sequence++
 	heap.Push(&m.queue, e)
 }
 
-// call delivers a message to whichever life of a node runs when it arrives.
+// call delivers a message to whichever process of a node runs when it arrives.
 func (m *simulation) call(from, to int, deliver func()) { m.send(from, to, false, deliver) }
 
-// respond delivers a response to the life of a node that runs now, and to no later one.
+// respond delivers a response to the process of a node that runs now, and to no later one.
 func (m *simulation) respond(from, to int, deliver func()) { m.send(from, to, true, deliver) }
 
 // send delivers a message late, twice, or not at all.
-func (m *simulation) send(from, to int, sameLife bool, deliver func()) {
-	life := m.nodes[to].life
+func (m *simulation) send(from, to int, sameProcess bool, deliver func()) {
+	process := m.nodes[to].process
 	for range 1 + m.rand.IntN(12)/11 {
 		if m.oneIn(12) {
 			continue
 		}
 		m.schedule(m.delay(), nobody, func() {
 			n := m.nodes[to]
-			if !n.running || m.partitioned[from] != m.partitioned[to] || sameLife && n.life != life {
+			if !n.running || m.partitioned[from] != m.partitioned[to] || sameProcess && n.process != process {
 				return
 			}
 			if m.now < n.pausedUntil { // the process finds it when it resumes
@@ -188,7 +188,7 @@
 	m.now = max(m.now, e.at)
 	if e.node != nobody {
 		n := m.nodes[e.node]
-		if n.life != e.life {
+		if n.process != e.process {
 			return
 		}
 		if m.now < n.pausedUntil {
@@ -260,7 +260,7 @@
 func (m *simulation) kill(node int, diskLost bool) {
 	n := m.nodes[node]
 	n.running = false
-	n.life++
+	n.process++
 	m.logf("%s is killed, disk lost: %v", n.disk.id, diskLost)
 	if diskLost {
 		old := n.disk.id
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -63,8 +63,8 @@
 	isVoter                bool
 	reconfigurationPending bool
 
-	// startedAt is the start of this life of the process. The expiry of what an
-	// earlier life granted or renewed is not known.
+	// startedAt is when this process started. When the leases expire that an
+	// earlier one granted or renewed is not known.
 	startedAt time.Duration
 	// blockedUntil is the time before which it grants no new request, since
 	// leases may run that it never heard of.
--- a/internal/lease/voter_test.go
+++ b/internal/lease/voter_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// The next life of a voter has the records, but not the times of expiry.
+// A restarted voter has the records, but not the times of expiry.
 func TestRestartedVoter(t *testing.T) {
 	v := NewVoter("v", lease, nil, 0, true, 0)
 	v.HandleRequest(newRequest(1, "a", 1, 0), lease)
