--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -17,13 +17,13 @@
 // instance is an entry of the platform's list.
 type instance struct {
 	InstanceID      string `json:"InstanceId"`
-	Service         string
-	Address         string
-	Zone            string
-	Version         string
-	Slots           int
-	State           string
-	ColdRemainingMs int
+	Service         string `json:"Service"`
+	Address         string `json:"Address"`
+	Zone            string `json:"Zone"`
+	Version         string `json:"Version"`
+	Slots           int    `json:"Slots"`
+	State           string `json:"State"`
+	ColdRemainingMs int    `json:"ColdRemainingMs"`
 }
 
 // searcher answers as one instance. A shard of a gathered service answers with
--- a/internal/cache/copy.go
+++ b/internal/cache/copy.go
@@ -7,7 +7,10 @@
 )
 
 // Field is one header line that is handed on.
-type Field struct{ Name, Value string }
+type Field struct {
+	Name  string `json:"Name"`
+	Value string `json:"Value"`
+}
 
 // Copy is a whole object as an origin served it. It is never changed once made.
 type Copy struct {
--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -2,35 +2,35 @@
 
 // Request is a proposer's message: Prepare without a Value, Accept with one.
 type Request struct {
-	Slot   int64
-	Ballot Ballot
-	Value  *Value `json:",omitempty"`
+	Slot   int64  `json:"Slot"`
+	Ballot Ballot `json:"Ballot"`
+	Value  *Value `json:"Value,omitempty"`
 }
 
 // Response is an acceptor's reply.
 type Response struct {
-	ID string
+	ID string `json:"ID"`
 	// Slot is the last slot that the acceptor knows as decided.
-	Slot int64
+	Slot int64 `json:"Slot"`
 	// OK: promised, or accepted.
-	OK bool
+	OK bool `json:"OK"`
 	// Promised is the ballot below which the acceptor refuses.
-	Promised Ballot
+	Promised Ballot `json:"Promised"`
 	// Accepted and Value: what it accepted earlier for this slot, if anything.
-	Accepted Ballot
-	Value    *Value `json:",omitempty"`
+	Accepted Ballot `json:"Accepted"`
+	Value    *Value `json:"Value,omitempty"`
 	// Ahead carries the decided state where the acceptor knows more than the asker.
-	Ahead *State `json:",omitempty"`
+	Ahead *State `json:"Ahead,omitempty"`
 }
 
 // Acceptor is what one voter keeps. All of it is written to disk before a
 // reply that changed it leaves.
 type Acceptor struct {
-	ID       string
-	State    State
-	Promised Ballot
-	Accepted Ballot
-	Value    *Value `json:",omitempty"`
+	ID       string `json:"ID"`
+	State    State  `json:"State"`
+	Promised Ballot `json:"Promised"`
+	Accepted Ballot `json:"Accepted"`
+	Value    *Value `json:"Value,omitempty"`
 }
 
 // Handle answers an Ask; changed tells whether the acceptor must be written first.
--- a/internal/consensus/keeper.go
+++ b/internal/consensus/keeper.go
@@ -2,10 +2,10 @@
 
 // BallotState is the acceptor's part that changes with every round, as it goes to disk.
 type BallotState struct {
-	Slot     int64
-	Promised Ballot
-	Accepted Ballot
-	Value    *Value `json:",omitempty"`
+	Slot     int64  `json:"Slot"`
+	Promised Ballot `json:"Promised"`
+	Accepted Ballot `json:"Accepted"`
+	Value    *Value `json:"Value,omitempty"`
 }
 
 // DurableAcceptor is an acceptor with its disk. Its memory may be ahead of the disk,
--- a/internal/consensus/news.go
+++ b/internal/consensus/news.go
@@ -7,21 +7,22 @@
 // however many slots lie between, and it may be applied to any state from
 // From on.
 type StateDelta struct {
-	From, Slot int64
+	From int64 `json:"From"`
+	Slot int64 `json:"Slot"`
 	// Voters are set where they changed after From.
-	Voters     []Voter `json:",omitempty"`
-	VotersSlot int64   `json:",omitempty"`
+	Voters     []Voter `json:"Voters,omitempty"`
+	VotersSlot int64   `json:"VotersSlot,omitempty"`
 	// Version and Body are set where they changed after From.
-	Version  int64           `json:",omitempty"`
-	Body     string          `json:",omitempty"`
-	TakenSeq int64           `json:",omitempty"`
-	Taken    []AppliedChange `json:",omitempty"`
-	PurgeSeq int64           `json:",omitempty"`
-	Purges   []Purge         `json:",omitempty"`
+	Version  int64           `json:"Version,omitempty"`
+	Body     string          `json:"Body,omitempty"`
+	TakenSeq int64           `json:"TakenSeq,omitempty"`
+	Taken    []AppliedChange `json:"Taken,omitempty"`
+	PurgeSeq int64           `json:"PurgeSeq,omitempty"`
+	Purges   []Purge         `json:"Purges,omitempty"`
 	// Larders are few and always whole.
-	Larders  []CacheNode `json:",omitempty"`
-	Rollouts []Rollout   `json:",omitempty"`
-	Ordered  []PastOrder `json:",omitempty"`
+	Larders  []CacheNode `json:"Larders,omitempty"`
+	Rollouts []Rollout   `json:"Rollouts,omitempty"`
+	Ordered  []PastOrder `json:"Ordered,omitempty"`
 }
 
 // NoSlot is the slot of a node that knows of no state at all.
--- a/internal/consensus/rollout.go
+++ b/internal/consensus/rollout.go
@@ -22,24 +22,24 @@
 // searchers, and how far it is.
 type Rollout struct {
 	// N names the order: the slot that decided it. It is 0 in a proposal of an order.
-	N       int64 `json:",omitempty"`
-	Service string
+	N       int64  `json:"N,omitempty"`
+	Service string `json:"Service"`
 	// From is the version in force when the order came, Target the one ordered.
-	From       string `json:",omitempty"`
-	Target     string
-	DurationMs int64
-	Phase      Phase
+	From       string `json:"From,omitempty"`
+	Target     string `json:"Target"`
+	DurationMs int64  `json:"DurationMs"`
+	Phase      Phase  `json:"Phase"`
 	// Slot decided the phase; SpentMs of the term were over by then.
-	Slot    int64 `json:",omitempty"`
-	SpentMs int64 `json:",omitempty"`
+	Slot    int64 `json:"Slot,omitempty"`
+	SpentMs int64 `json:"SpentMs,omitempty"`
 	// ForMs is how long a trial lasts on each node.
-	ForMs int64 `json:",omitempty"`
+	ForMs int64 `json:"ForMs,omitempty"`
 	// Asked is how many tries of the new version were seen by then, Of how
 	// many of both versions.
-	Asked int64 `json:",omitempty"`
-	Of    int64 `json:",omitempty"`
+	Asked int64 `json:"Asked,omitempty"`
+	Of    int64 `json:"Of,omitempty"`
 	// Why tells what led to the phase.
-	Why string `json:",omitempty"`
+	Why string `json:"Why,omitempty"`
 }
 
 // Running tells whether the order is not settled.
@@ -72,11 +72,11 @@
 // PastOrder remembers an order that was decided, to know a copy of it that was
 // long on its way.
 type PastOrder struct {
-	Service    string
-	Target     string
-	DurationMs int64
+	Service    string `json:"Service"`
+	Target     string `json:"Target"`
+	DurationMs int64  `json:"DurationMs"`
 	// Slot decided it.
-	Slot int64
+	Slot int64 `json:"Slot"`
 }
 
 // orderedEach bounds how many orders of one service are remembered,
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -13,9 +13,9 @@
 // first use, tells its lives apart. So whoever accepted a value under a ballot
 // knows what was chosen under it.
 type Ballot struct {
-	N    int64
-	By   string
-	Life int64 `json:",omitempty"`
+	N    int64  `json:"N"`
+	By   string `json:"By"`
+	Life int64  `json:"Life,omitempty"`
 }
 
 // Less tells whether b is below o.
@@ -33,46 +33,46 @@
 
 // Voter is a node that votes, under the identity its disk was given.
 type Voter struct {
-	ID string
-	IP string
+	ID string `json:"ID"`
+	IP string `json:"IP"`
 }
 
 // Purge names copies that may not be served any more: one object by host and
 // path, or all that carry a tag.
 type Purge struct {
 	// N numbers the purges; it is given when the slot is decided.
-	N int64 `json:",omitempty"`
+	N int64 `json:"N,omitempty"`
 	// Slot decided it.
-	Slot int64 `json:",omitempty"`
+	Slot int64 `json:"Slot,omitempty"`
 	// ID is drawn by whoever took the operator's call, to know it again.
-	ID   string
-	Host string `json:",omitempty"`
-	Path string `json:",omitempty"`
-	Tag  string `json:",omitempty"`
+	ID   string `json:"ID"`
+	Host string `json:"Host,omitempty"`
+	Path string `json:"Path,omitempty"`
+	Tag  string `json:"Tag,omitempty"`
 }
 
 // CacheNode is a node that keeps copies and may fetch.
 type CacheNode struct {
-	Name string
-	IP   string
-	Zone string
+	Name string `json:"Name"`
+	IP   string `json:"IP"`
+	Zone string `json:"Zone"`
 }
 
 // Value is what a slot decides: a configuration on top of Base, a set of
 // voters, some purges, the set of larders, or a step of a rollout.
 type Value struct {
-	Version int64  `json:",omitempty"`
-	Base    int64  `json:",omitempty"`
-	Body    string `json:",omitempty"`
+	Version int64  `json:"Version,omitempty"`
+	Base    int64  `json:"Base,omitempty"`
+	Body    string `json:"Body,omitempty"`
 	// Sent is the fingerprint of the operator's call where that is not Body itself.
-	Sent    string      `json:",omitempty"`
-	Voters  []Voter     `json:",omitempty"`
-	Purges  []Purge     `json:",omitempty"`
-	Larders []CacheNode `json:",omitempty"`
+	Sent    string      `json:"Sent,omitempty"`
+	Voters  []Voter     `json:"Voters,omitempty"`
+	Purges  []Purge     `json:"Purges,omitempty"`
+	Larders []CacheNode `json:"Larders,omitempty"`
 	// NoLarders: the set of larders is empty.
-	NoLarders bool `json:",omitempty"`
+	NoLarders bool `json:"NoLarders,omitempty"`
 	// Rollout is an order (without N), or the next phase of one.
-	Rollout *Rollout `json:",omitempty"`
+	Rollout *Rollout `json:"Rollout,omitempty"`
 }
 
 // Equal compares two values.
@@ -80,11 +80,11 @@
 
 // AppliedChange remembers a configuration that was chosen, to know its resends.
 type AppliedChange struct {
-	Version int64
-	Base    int64
-	Sum     string
+	Version int64  `json:"Version"`
+	Base    int64  `json:"Base"`
+	Sum     string `json:"Sum"`
 	// Slot decided it.
-	Slot int64 `json:",omitempty"`
+	Slot int64 `json:"Slot,omitempty"`
 }
 
 // TakenKept bounds how many chosen configurations are remembered: two days of
@@ -97,23 +97,23 @@
 // State is all that the decided slots say.
 type State struct {
 	// Slot is the last decided slot; the open one follows it.
-	Slot   int64
-	Voters []Voter
+	Slot   int64   `json:"Slot"`
+	Voters []Voter `json:"Voters"`
 	// VotersSlot decided the present voters.
-	VotersSlot int64 `json:",omitempty"`
-	Version    int64
-	Body       string `json:",omitempty"`
+	VotersSlot int64  `json:"VotersSlot,omitempty"`
+	Version    int64  `json:"Version"`
+	Body       string `json:"Body,omitempty"`
 	// TakenSeq counts the configurations that were chosen; Taken holds the newest ones.
-	TakenSeq int64           `json:",omitempty"`
-	Taken    []AppliedChange `json:",omitempty"`
+	TakenSeq int64           `json:"TakenSeq,omitempty"`
+	Taken    []AppliedChange `json:"Taken,omitempty"`
 	// PurgeSeq is the number of the last purge; Purges holds the newest ones.
-	PurgeSeq int64       `json:",omitempty"`
-	Purges   []Purge     `json:",omitempty"`
-	Larders  []CacheNode `json:",omitempty"`
+	PurgeSeq int64       `json:"PurgeSeq,omitempty"`
+	Purges   []Purge     `json:"Purges,omitempty"`
+	Larders  []CacheNode `json:"Larders,omitempty"`
 	// Rollouts holds each service's last order, those changed last at the end.
-	Rollouts []Rollout `json:",omitempty"`
+	Rollouts []Rollout `json:"Rollouts,omitempty"`
 	// Ordered holds the last few orders of each service, the newest at the end.
-	Ordered []PastOrder `json:",omitempty"`
+	Ordered []PastOrder `json:"Ordered,omitempty"`
 }
 
 // CompactedPurgeSeq is the number of the last purge that is no longer held.
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -17,33 +17,33 @@
 // Record is what a voter keeps on disk of a duty: the highest epoch that it
 // granted, and to which life of which holder.
 type Record struct {
-	Epoch  int64
-	Holder string
-	Life   int64
+	Epoch  int64  `json:"Epoch"`
+	Holder string `json:"Holder"`
+	Life   int64  `json:"Life"`
 }
 
 // Request asks a voter for a duty's lease under an epoch; the same bid again
 // renews it.
 type Request struct {
-	Duty   string
-	Epoch  int64
-	Holder string
+	Duty   string `json:"Duty"`
+	Epoch  int64  `json:"Epoch"`
+	Holder string `json:"Holder"`
 	// Life numbers the lives of the holder's process; it is on its disk.
-	Life int64
+	Life int64 `json:"Life"`
 	// VotersSlot is the slot that decided the voters that are asked.
-	VotersSlot int64
+	VotersSlot int64 `json:"VotersSlot"`
 }
 
 func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Life} }
 
 // Response is a voter's answer.
 type Response struct {
-	Voter string
-	OK    bool
+	Voter string `json:"Voter"`
+	OK    bool   `json:"OK"`
 	// Record is what the voter has granted. It is not a promise unless OK.
-	Record Record
+	Record Record `json:"Record"`
 	// VotersSlot is the slot that decided the voters that this one knows.
-	VotersSlot int64
+	VotersSlot int64 `json:"VotersSlot"`
 }
 
 // Voter grants the leases of the singleton roles as one of the voters. The
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -19,21 +19,21 @@
 // ConsensusRequest is an Ask; Packed holds the body of its value.
 type ConsensusRequest struct {
 	consensus.Request
-	Packed []byte `json:",omitempty"`
+	Packed []byte `json:"Packed,omitempty"`
 }
 
 // ConsensusResponse is a Say; Packed holds the body of its value, News stand for Ahead.
 type ConsensusResponse struct {
 	consensus.Response
-	Packed []byte      `json:",omitempty"`
-	News   *StateDelta `json:",omitempty"`
+	Packed []byte      `json:"Packed,omitempty"`
+	News   *StateDelta `json:"News,omitempty"`
 }
 
 // StateDelta are cairn.News whose body is packed on top of that of version Base.
 type StateDelta struct {
 	consensus.StateDelta
-	Base   int64  `json:",omitempty"`
-	Packed []byte `json:",omitempty"`
+	Base   int64  `json:"Base,omitempty"`
+	Packed []byte `json:"Packed,omitempty"`
 }
 
 // withoutBody gives a value without its body, for the wire and the disk, where that
--- /dev/null
+++ b/internal/lodge/golden_test.go
@@ -0,0 +1,494 @@
+package lodge
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftswitch/internal/cache"
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/lease"
+	"swiftswitch/internal/membership"
+	"swiftswitch/internal/peersampling"
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/storage"
+	"swiftswitch/internal/upstream"
+)
+
+// The files in testdata were written once by the program whose form they hold.
+// They are changed by hand only, and only together with a change of the stored
+// or the wire form that is meant.
+
+// goldenKinds are the types whose JSON form is stored or sent, by the name of
+// their golden files: name.full.json has every field filled, name.zero.json
+// holds the zero value, without the optional fields.
+var goldenKinds = map[string]any{
+	// Records on disk.
+	"record-identity":  "",
+	"record-state":     consensus.State{},
+	"record-body":      BodyRecord{},
+	"record-ballot":    BallotRecord{},
+	"record-leases":    map[string]lease.Record{},
+	"record-table":     endpoints.Table{},
+	"record-fronts":    0,
+	"record-terms":     rollout.Noted{},
+	"record-life":      int64(0),
+	"record-taken":     []consensus.AppliedChange{},
+	"value":            consensus.Value{},
+	"ballots":          consensus.BallotState{},
+	"acceptor-ask":     consensus.Request{},
+	"acceptor-say":     consensus.Response{},
+	"state-news":       consensus.StateDelta{},
+	"table-delta":      endpoints.Delta{},
+	"lease-record":     lease.Record{},
+	"rollout-entry":    rollout.Entry{},
+	"rollout-cell":     rollout.Cell{},
+	"rollout-sum":      rollout.Sum{},
+	"copy-field":       cache.Field{},
+	"front":            relay.Front{},
+	"view-node":        peersampling.Node{},
+	"table-stamp":      endpoints.Stamp{},
+	"table-entry":      endpoints.Endpoint{},
+	"order-of-rollout": config.RolloutRequest{},
+	"order-of-purge":   config.PurgeRequest{},
+	"order-of-patch":   config.Patch{},
+	"platform-page":    instancePage{},
+
+	// Messages between nodes, by path.
+	"cairn-ask":         ConsensusRequest{},
+	"cairn-say":         ConsensusResponse{},
+	"learn-ask":         LearnRequest{},
+	"learn-say":         LearnResponse{},
+	"state-ask":         StateRequest{},
+	"state-say":         StateDelta{},
+	"version-ask":       VersionRequest{},
+	"version-say":       VersionResponse{},
+	"beat":              Heartbeat{},
+	"beat-renewal":      LeaseRenewal{},
+	"table-ask":         TableRequest{},
+	"table-say":         TableResponse{},
+	"join-ask":          JoinRequest{},
+	"join-say":          JoinResponse{},
+	"silent-say":        membership.Report{},
+	"keep-say":          int64(0),
+	"watch-ask":         WatchRequest{},
+	"watch-say":         WatchResponse{},
+	"watch-say-address": ControlNode{},
+	"shuffle":           ShuffleMessage{},
+	"roll":              FrontRoster{},
+	"larder-ask":        CacheFetchRequest{},
+	"larder-say":        CacheFetchResponse{},
+	"enlist-ask":        consensus.CacheNode{},
+	"peek-say":          PeekResponse{},
+	"saddle-ask":        relay.Ask{},
+	"saddle-say":        relay.Say{},
+	"bid-ask":           LeaseRequest{},
+	"bid-say":           LeaseResponse{},
+	"fetch-ask":         TableFetchRequest{},
+	"fetch-say":         TableFetchResponse{},
+	"hearsay":           UnreachableReport{},
+	"tally":             RolloutReport{},
+	"ledger":            RolloutTotals{},
+
+	// What the status calls answer.
+	"status":         Status{},
+	"status-control": ControlStatus{},
+	"status-front":   FrontStatus{},
+	"status-rollout": RolloutStatus{},
+	"status-count":   upstream.Count{},
+}
+
+func TestGoldenForms(t *testing.T) {
+	var want, have []string
+	for name := range goldenKinds {
+		want = append(want, name+".full.json", name+".zero.json")
+	}
+	files, err := os.ReadDir("testdata/golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range files {
+		have = append(have, f.Name())
+	}
+	slices.Sort(want)
+	if !slices.Equal(have, want) {
+		t.Errorf("golden files %v, want %v", have, want)
+	}
+	for name, kind := range goldenKinds {
+		for _, part := range []string{"full", "zero"} {
+			t.Run(name+"-"+part, func(t *testing.T) {
+				raw, err := os.ReadFile(filepath.Join("testdata/golden", name+"."+part+".json"))
+				if err != nil {
+					t.Fatal(err)
+				}
+				v := reflect.New(reflect.TypeOf(kind))
+				strictly(t, raw, v.Interface())
+				again, err := json.Marshal(v.Interface())
+				if err != nil {
+					t.Fatal(err)
+				}
+				if !sameJSON(t, raw, again) {
+					t.Errorf("the form has changed: golden\n%s\nnow\n%s", raw, again)
+				}
+				if part == "full" {
+					for _, path := range zeros(v.Elem(), name) {
+						t.Errorf("%s is missing in the golden file, or empty", path)
+					}
+					return
+				}
+				zero, err := json.Marshal(kind)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if !sameJSON(t, raw, zero) {
+					t.Errorf("the form of the zero value has changed: golden\n%s\nnow\n%s", raw, zero)
+				}
+			})
+		}
+	}
+}
+
+// strictly decodes all of raw; keys that v has no field for are an error.
+func strictly(t *testing.T, raw []byte, v any) {
+	t.Helper()
+	dec := json.NewDecoder(bytes.NewReader(raw))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(v); err != nil {
+		t.Fatalf("%v in\n%s", err, raw)
+	}
+	if dec.More() {
+		t.Fatalf("more follows in\n%s", raw)
+	}
+}
+
+// sameJSON compares key for key; the order of keys doesn't count, their case does.
+func sameJSON(t *testing.T, a, b []byte) bool {
+	t.Helper()
+	var of [2]any
+	for i, raw := range [][]byte{a, b} {
+		dec := json.NewDecoder(bytes.NewReader(raw))
+		dec.UseNumber()
+		if err := dec.Decode(&of[i]); err != nil {
+			t.Fatalf("%v in\n%s", err, raw)
+		}
+	}
+	return reflect.DeepEqual(of[0], of[1])
+}
+
+// zeros gives the paths of all that is zero or empty in v, at any depth.
+func zeros(v reflect.Value, path string) (out []string) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			return zeros(v.Elem(), path)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() || f.Anonymous {
+				out = append(out, zeros(v.Field(i), path+"."+f.Name)...)
+			}
+		}
+		return out
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			out = append(out, zeros(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+		}
+		if v.Len() > 0 {
+			return out
+		}
+	case reflect.Map:
+		for it := v.MapRange(); it.Next(); {
+			at := fmt.Sprintf("%s[%v]", path, it.Key())
+			out = append(out, zeros(it.Key(), at+" (key)")...)
+			out = append(out, zeros(it.Value(), at)...)
+		}
+		if v.Len() > 0 {
+			return out
+		}
+	default:
+		if !v.IsZero() {
+			return nil
+		}
+	}
+	return append(out, path)
+}
+
+// Names that go over the wire or name records, against their literal text.
+func TestFormNames(t *testing.T) {
+	for _, c := range []struct{ have, want string }{
+		{PathConsensus, "/rope/cairn"},
+		{PathLearn, "/rope/learn"},
+		{PathState, "/rope/state"},
+		{PathVersion, "/rope/version"},
+		{PathHeartbeat, "/rope/beat"},
+		{PathTable, "/rope/table"},
+		{PathJoin, "/rope/join"},
+		{PathSilentVoters, "/rope/silent"},
+		{PathPersist, "/rope/keep"},
+		{PathWatch, "/rope/watch"},
+		{PathShuffle, "/rope/shuffle"},
+		{PathFrontRoster, "/rope/roll"},
+		{PathCacheFetch, "/rope/larder"},
+		{PathCacheJoin, "/rope/enlist"},
+		{PathPeek, "/rope/peek"},
+		{PathRelay, "/rope/saddle"},
+		{PathLease, "/rope/bid"},
+		{PathTableFetch, "/rope/fetch"},
+		{PathUnreachable, "/rope/hearsay"},
+		{PathRolloutReport, "/rope/tally"},
+		{PathRolloutTotals, "/rope/ledger"},
+		{PathStatus, "/rope/status"},
+		{PathConfiguration, "/-/configuration"},
+		{PathPurge, "/-/purge"},
+		{PathRollouts, "/-/rollouts"},
+
+		{HeaderVersion, "Swiftswitch-Version"},
+		{headerPatience, "Swiftswitch-Patience-Milliseconds"},
+		{headerPassed, "Swiftswitch-Passed-On"},
+		{HeaderCacheFetch, "Swiftswitch-Larder"},
+		{cache.HeaderTags, "Swiftswitch-Object-Tags"},
+		{upstream.HeaderRequestID, "Swiftswitch-Request-Id"},
+		{upstream.HeaderDeadline, "Swiftswitch-Deadline-Milliseconds"},
+		{upstream.HeaderStamp, "Swiftswitch-Server-Stamp"},
+		{upstream.HeaderExpected, "Swiftswitch-Expected-Instance"},
+		{upstream.HeaderLoad, "Swiftswitch-Server-Load"},
+		{upstream.HeaderNotRun, "Swiftswitch-Not-Run"},
+		{upstream.HeaderInstance, "Swiftswitch-Instance-Id"},
+		{upstream.HeaderParts, "Swiftswitch-Part-Stamps"},
+		{upstream.HeaderMissing, "Swiftswitch-Missing-Parts"},
+
+		{recordIdentity, "identity"},
+		{recordState, "state"},
+		{recordBody, "body"},
+		{recordBallot, "ballot"},
+		{recordLeases, "leases"},
+		{recordTable, "table"},
+		{recordFronts, "fronts"},
+		{recordTerms, "terms"},
+		{recordIncarnation, "life"},
+		{recordTakenPage, "taken-%02d"},
+
+		// Values that are stored and sent.
+		{pollerRole, "list"},
+		{string(consensus.PhaseCanary), "canary"},
+		{string(consensus.PhaseTrial), "trial"},
+		{string(consensus.PhasePromote), "promote"},
+		{string(consensus.PhaseCompleted), "completed"},
+		{string(consensus.PhaseRolledBack), "rolled_back"},
+		{consensus.GenesisID("10.0.0.1"), "first-10.0.0.1"},
+		{consensus.Fingerprint("body"), "230d8358dc8e8890b4c58deeb62912ee"},
+	} {
+		if c.have != c.want {
+			t.Errorf("%q was %q", c.have, c.want)
+		}
+	}
+	if takenPage != 64 || takenPages != 65 || dictionary != 1 || consensus.NoSlot != -1 {
+		t.Errorf("pages of taken changes %d of %d, dictionary %d, no slot %d", takenPages, takenPage, dictionary, consensus.NoSlot)
+	}
+}
+
+// What the operator's orders are read from.
+func TestFormOrders(t *testing.T) {
+	for raw, want := range map[string]config.PurgeRequest{
+		`{"HostName":"h","Path":"/p"}`: {HostName: "h", Path: "/p"},
+		`{"Tag":"t"}`:                  {Tag: "t"},
+	} {
+		if got, err := config.ParsePurgeRequest([]byte(raw)); err != nil || got != want {
+			t.Errorf("%s: %+v %v", raw, got, err)
+		}
+	}
+	if got, err := config.ParseRolloutRequest([]byte(`{"Service":"s","TargetVersion":"v","DurationS":1.5}`)); err != nil || got != (config.RolloutRequest{Service: "s", TargetVersion: "v", DurationS: 1.5}) {
+		t.Errorf("%+v %v", got, err)
+	}
+	if _, err := config.ParsePatch([]byte(`{"Version":2,"SetItems":{"Routes":[{"Name":"r"}]},"RemoveNames":{"Services":["s"]}}`)); err != nil {
+		t.Error(err)
+	}
+}
+
+// storedAll is what the loaders make of a store.
+type storedAll struct {
+	Identity string
+	Life     int64
+	Leases   map[string]lease.Record
+	Table    *endpoints.Table
+	Fronts   int
+	Terms    rollout.Noted
+	State    consensus.State
+	Ballots  consensus.BallotState
+	Packed   []byte
+}
+
+func loadAll(t *testing.T, c *storage.Store) (all storedAll) {
+	t.Helper()
+	err := loadRecords(c, map[string]any{recordTerms: &all.Terms, recordIdentity: &all.Identity, recordLeases: &all.Leases, recordTable: &all.Table, recordFronts: &all.Fronts, recordIncarnation: &all.Life})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if all.State, all.Ballots, all.Packed, err = loadState(c, 1<<20); err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// A store that an earlier program left, of several lives, is read as it was
+// meant, and what is written back is the same byte for byte.
+func TestStoreOfVersion1(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata/store-v1")); err != nil {
+		t.Fatal(err)
+	}
+	c, err := storage.Open(dir, time.Second, time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { c.Close(5 * time.Second) }()
+	if c.Quarantined() {
+		t.Fatal("the store can't be read")
+	}
+	before := c.Scan("")
+	names := slices.Sorted(maps.Keys(before))
+	if want := []string{"ballot", "body", "fronts", "identity", "leases", "life", "state", "table", "taken-00", "taken-01", "terms"}; !slices.Equal(names, want) {
+		t.Fatalf("records %v, want %v", names, want)
+	}
+	all := loadAll(t, c)
+	got, err := json.Marshal(all)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/store-v1.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	strictly(t, want, &storedAll{})
+	if !sameJSON(t, got, want) {
+		t.Errorf("loaded\n%s\nwant\n%s", got, want)
+	}
+
+	back := stateRecords(all.State, -1, 0)
+	bare := all.Ballots
+	value := *bare.Value
+	value.Body = "" // it stands in Packed
+	bare.Value = &value
+	for name, v := range map[string]any{recordIdentity: all.Identity, recordIncarnation: all.Life, recordLeases: all.Leases, recordTable: all.Table, recordFronts: all.Fronts, recordTerms: all.Terms, recordBallot: BallotRecord{bare, all.Packed}} {
+		back[name] = Encode(name, v)
+	}
+	sameRecords(t, before, back)
+	done := make(chan error, 1)
+	c.PutAll(back, func(err error) { done <- err })
+	if err := <-done; err != nil {
+		t.Fatal(err)
+	}
+	c.Close(5 * time.Second)
+	if c, err = storage.Open(dir, time.Second, time.Second); err != nil {
+		t.Fatal(err)
+	}
+	sameRecords(t, before, c.Scan(""))
+	if again := loadAll(t, c); !reflect.DeepEqual(again, all) {
+		t.Errorf("after it was written back: %+v, was %+v", again, all)
+	}
+}
+
+func sameRecords(t *testing.T, want, have map[string][]byte) {
+	t.Helper()
+	for name := range maps.Keys(have) {
+		if _, there := want[name]; !there {
+			t.Errorf("record %s was not there", name)
+		}
+	}
+	for name, raw := range want {
+		if !bytes.Equal(raw, have[name]) {
+			t.Errorf("record %s is\n%s\nwas\n%s", name, have[name], raw)
+		}
+	}
+}
+
+// Every path and record of the source stands in TestFormNames.
+func TestFormNamesAreAll(t *testing.T) {
+	this, err := os.ReadFile("golden_test.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	source, _ := filepath.Glob("*.go")
+	for _, name := range source {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		raw, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, literal := range wireLiteral.FindAllString(string(raw), -1) {
+			if !bytes.Contains(this, []byte(literal)) {
+				t.Errorf("%s in %s stands in no test of the form", literal, name)
+			}
+		}
+	}
+}
+
+var wireLiteral = regexp.MustCompile(`"(/rope/|/-/|Swiftswitch-)[A-Za-z-]+"`)
+
+// The files beside a store that tell that one was set aside keep their names.
+func TestStoreMarks(t *testing.T) {
+	for _, name := range []string{"cellar-set-aside", "cellar-unreadable"} {
+		dir := t.TempDir()
+		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		c, err := storage.Open(dir, time.Second, time.Second)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !c.Quarantined() {
+			t.Errorf("%s is no sign of a store that was set aside", name)
+		}
+		c.Close(5 * time.Second)
+	}
+}
+
+// Every field that is stored or sent names its key, so that the name of a Go
+// field never makes it. Embedded structs have none: their keys stand in the
+// outer object.
+func TestFormTags(t *testing.T) {
+	seen := map[reflect.Type]bool{}
+	var look func(reflect.Type)
+	look = func(at reflect.Type) {
+		if seen[at] {
+			return
+		}
+		seen[at] = true
+		switch at.Kind() {
+		case reflect.Map:
+			look(at.Key())
+			look(at.Elem())
+		case reflect.Pointer, reflect.Slice, reflect.Array:
+			look(at.Elem())
+		case reflect.Struct:
+			for i := range at.NumField() {
+				f := at.Field(i)
+				key, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+				switch {
+				case f.Anonymous && f.Tag != "":
+					t.Errorf("%v embeds %s under a key", at, f.Name)
+				case !f.Anonymous && key == "":
+					t.Errorf("%v.%s names no key", at, f.Name)
+				}
+				look(f.Type)
+			}
+		}
+	}
+	for _, kind := range goldenKinds {
+		look(reflect.TypeOf(kind))
+	}
+}
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -14,8 +14,8 @@
 
 // UnreachableReport is what a front tells: the entries of searchers that did not answer it.
 type UnreachableReport struct {
-	Name string
-	Dark []int64
+	Name string  `json:"Name"`
+	Dark []int64 `json:"Dark"`
 }
 
 // requiredReporters is how many fronts must get no answer, of all in a zone at least a
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -41,33 +41,33 @@
 // LearnRequest tells that a slot is decided: by a ballot whose value the
 // receiver may have accepted itself, or with what it lacks.
 type LearnRequest struct {
-	Slot   int64
-	Ballot consensus.Ballot
-	News   *StateDelta `json:",omitempty"`
+	Slot   int64            `json:"Slot"`
+	Ballot consensus.Ballot `json:"Ballot"`
+	News   *StateDelta      `json:"News,omitempty"`
 }
 
 // LearnResponse names the last slot that is on the receiver's disk.
 type LearnResponse struct {
-	Slot int64
+	Slot int64 `json:"Slot"`
 }
 
 // PeekResponse is what a read of the newest version asks voters for.
 type PeekResponse struct {
-	ID   string
-	Slot int64
+	ID   string `json:"ID"`
+	Slot int64  `json:"Slot"`
 	// Begun: something was accepted for the open slot.
-	Begun bool
+	Begun bool `json:"Begun"`
 }
 
 // StateRequest asks for news by whoever is at a slot, or at cairn.Nothing.
 type StateRequest struct {
-	Slot int64
+	Slot int64 `json:"Slot"`
 }
 
 // VersionRequest asks for the newest version; who holds an older one is sent the
 // difference, if that is still known.
 type VersionRequest struct {
-	Version int64
+	Version int64 `json:"Version"`
 }
 
 // HeaderVersion tells which version the gzipped body of an answer holds, by
@@ -76,197 +76,199 @@
 const HeaderVersion = "Swiftswitch-Version"
 
 type VersionResponse struct {
-	Slot, Version, AgeMs int64
-	From                 int64               `json:",omitempty"`
-	Gone                 map[string][]string `json:",omitempty"`
+	Slot    int64               `json:"Slot"`
+	Version int64               `json:"Version"`
+	AgeMs   int64               `json:"AgeMs"`
+	From    int64               `json:"From,omitempty"`
+	Gone    map[string][]string `json:"Gone,omitempty"`
 }
 
 type Heartbeat struct {
-	ID string
-	IP string
+	ID string `json:"ID"`
+	IP string `json:"IP"`
 	// Slot is the last decided slot that the node knows, Kept the last that it
 	// has on disk.
-	Slot    int64
-	Kept    int64
-	Epoch   int64
-	Holder  string
-	Stamp   endpoints.Stamp
-	Zone    string
-	Leaving bool `json:",omitempty"`
+	Slot    int64           `json:"Slot"`
+	Kept    int64           `json:"Kept"`
+	Epoch   int64           `json:"Epoch"`
+	Holder  string          `json:"Holder"`
+	Stamp   endpoints.Stamp `json:"Stamp"`
+	Zone    string          `json:"Zone"`
+	Leaving bool            `json:"Leaving,omitempty"`
 	// Unfit: the node hears no majority, or was granted nothing; it can't have a duty.
-	Unfit bool `json:",omitempty"`
+	Unfit bool `json:"Unfit,omitempty"`
 	// Fronts is how many fronts the node counts.
-	Fronts int `json:",omitempty"`
+	Fronts int `json:"Fronts,omitempty"`
 	// Renews are the leases that the sender holds, by duty; Granted are those
 	// that the answering node renewed.
-	Renews  map[string]LeaseRenewal `json:",omitempty"`
-	Granted []string                `json:",omitempty"`
+	Renews  map[string]LeaseRenewal `json:"Renews,omitempty"`
+	Granted []string                `json:"Granted,omitempty"`
 	// Spent tells, by order, how many milliseconds of a rollout's term are over.
-	Spent map[int64]int64 `json:",omitempty"`
+	Spent map[int64]int64 `json:"Spent,omitempty"`
 	// Roll is the state of the list of fronts that watch this hut first; who
 	// lacks that asks for the list.
-	Roll int64
+	Roll int64 `json:"Roll"`
 }
 
 // LeaseRenewal is a bid whose holder is the sender.
 type LeaseRenewal struct {
-	Epoch      int64
-	Life       int64
-	VotersSlot int64 `json:",omitempty"`
+	Epoch      int64 `json:"Epoch"`
+	Life       int64 `json:"Life"`
+	VotersSlot int64 `json:"VotersSlot,omitempty"`
 }
 
 // LeaseRequest asks a voter for a duty's lease, or gives it back.
 type LeaseRequest struct {
-	Bid     lease.Request
-	Release bool `json:",omitempty"`
+	Bid     lease.Request `json:"Bid"`
+	Release bool          `json:"Release,omitempty"`
 }
 
 // LeaseResponse is the voter's answer, and the newest table that it holds.
 type LeaseResponse struct {
-	Grant lease.Response
-	Stamp endpoints.Stamp
+	Grant lease.Response  `json:"Grant"`
+	Stamp endpoints.Stamp `json:"Stamp"`
 }
 
 // TableFetchRequest asks for what changed in the table since the one held.
 type TableFetchRequest struct {
-	Stamp endpoints.Stamp
+	Stamp endpoints.Stamp `json:"Stamp"`
 }
 
 type TableFetchResponse struct {
-	Delta []byte `json:",omitempty"`
+	Delta []byte `json:"Delta,omitempty"`
 }
 
 // FrontRoster lists the fronts that watch a hut before others.
 type FrontRoster struct {
-	Roll   int64
-	Fronts []relay.Front `json:",omitempty"`
+	Roll   int64         `json:"Roll"`
+	Fronts []relay.Front `json:"Fronts,omitempty"`
 }
 
 // ControlNode is a hut and its place.
 type ControlNode struct {
-	IP   string
-	Zone string `json:",omitempty"`
+	IP   string `json:"IP"`
+	Zone string `json:"Zone,omitempty"`
 }
 
 type JoinRequest struct {
-	ID string
-	IP string
+	ID string `json:"ID"`
+	IP string `json:"IP"`
 	// Slot is the last decided slot that the node has on disk.
-	Slot int64
+	Slot int64 `json:"Slot"`
 }
 
 type JoinResponse struct {
-	Votes bool
-	Slot  int64
+	Votes bool  `json:"Votes"`
+	Slot  int64 `json:"Slot"`
 }
 
 // TableRequest brings another hut what changed in the table; tableSay tells which
 // table it has then.
 type TableRequest struct {
-	Delta []byte
+	Delta []byte `json:"Delta"`
 }
 
 type TableResponse struct {
-	Stamp endpoints.Stamp
+	Stamp endpoints.Stamp `json:"Stamp"`
 }
 
 type WatchRequest struct {
-	Name  string
-	IP    string
-	Slot  int64
-	Stamp endpoints.Stamp
+	Name  string          `json:"Name"`
+	IP    string          `json:"IP"`
+	Slot  int64           `json:"Slot"`
+	Stamp endpoints.Stamp `json:"Stamp"`
 	// Zone and Ready: other fronts may ask this one to gather for them.
-	Zone  string `json:",omitempty"`
-	Ready bool   `json:",omitempty"`
+	Zone  string `json:"Zone,omitempty"`
+	Ready bool   `json:"Ready,omitempty"`
 	// Out is how many listed searchers have fallen silent for this front.
-	Out int `json:",omitempty"`
+	Out int `json:"Out,omitempty"`
 	// HoldMs is how long the front lets the hut hold the call.
-	HoldMs int64
+	HoldMs int64 `json:"HoldMs"`
 	// Purge is the last that the node knows of; below 0 it asks for the last
 	// purge's number alone.
-	Purge int64
+	Purge int64 `json:"Purge"`
 	// Rolled is the slot up to which the node knows the rollouts, below 0 none.
-	Rolled int64
+	Rolled int64 `json:"Rolled"`
 	// Brief: the table itself is not wanted, only word of it.
-	Brief bool `json:",omitempty"`
+	Brief bool `json:"Brief,omitempty"`
 	// First: the node watches this hut before others, and is on its roll.
-	First bool `json:",omitempty"`
+	First bool `json:"First,omitempty"`
 	// Larder: the node serves no clients, it keeps copies.
-	Larder bool `json:",omitempty"`
+	Larder bool `json:"Larder,omitempty"`
 	// Roster: the node wants to know some fronts of each zone.
-	Roster bool `json:",omitempty"`
+	Roster bool `json:"Roster,omitempty"`
 	// Heard is the last hearsay that the node was told.
-	Heard int64 `json:",omitempty"`
+	Heard int64 `json:"Heard,omitempty"`
 	// Hello: the node wants to know at once where the huts are, and nothing else.
-	Hello bool `json:",omitempty"`
+	Hello bool `json:"Hello,omitempty"`
 }
 
 type WatchResponse struct {
-	Zone string
+	Zone string `json:"Zone"`
 	// Lone: this hut has not heard a majority of the voters lately.
-	Lone    bool `json:",omitempty"`
-	Slot    int64
-	Version int64
-	Stamp   endpoints.Stamp
+	Lone    bool            `json:"Lone,omitempty"`
+	Slot    int64           `json:"Slot"`
+	Version int64           `json:"Version"`
+	Stamp   endpoints.Stamp `json:"Stamp"`
 	// Delta is what changed in the table since the one held, packed.
-	Delta []byte `json:",omitempty"`
+	Delta []byte `json:"Delta,omitempty"`
 	// Fronts is how many fronts there are, Around in the asker's region, Here in its zone.
-	Fronts int
-	Around int `json:",omitempty"`
-	Here   int `json:",omitempty"`
-	Huts   []ControlNode
+	Fronts int           `json:"Fronts"`
+	Around int           `json:"Around,omitempty"`
+	Here   int           `json:"Here,omitempty"`
+	Huts   []ControlNode `json:"Huts"`
 	// Roster lists some fronts of each zone that are ready.
-	Roster []relay.Front `json:",omitempty"`
+	Roster []relay.Front `json:"Roster,omitempty"`
 	// Dark are searchers that several fronts get no answer from, by their
 	// entries; Heard numbers what was told.
-	Dark  []int64 `json:",omitempty"`
-	Heard int64   `json:",omitempty"`
+	Dark  []int64 `json:"Dark,omitempty"`
+	Heard int64   `json:"Heard,omitempty"`
 	// Purge is the last purge's number, Floor the last that nobody holds any
 	// more; Purges are those that the asker lacks.
-	Purge   int64                 `json:",omitempty"`
-	Floor   int64                 `json:",omitempty"`
-	Purges  []consensus.Purge     `json:",omitempty"`
-	Larders []consensus.CacheNode `json:",omitempty"`
+	Purge   int64                 `json:"Purge,omitempty"`
+	Floor   int64                 `json:"Floor,omitempty"`
+	Purges  []consensus.Purge     `json:"Purges,omitempty"`
+	Larders []consensus.CacheNode `json:"Larders,omitempty"`
 	// Rollouts are the orders that changed since the slot that the asker knows
 	// them up to, RolledTo the slot that it knows them up to then.
-	Rollouts []consensus.Rollout `json:",omitempty"`
-	RolledTo int64
+	Rollouts []consensus.Rollout `json:"Rollouts,omitempty"`
+	RolledTo int64               `json:"RolledTo"`
 }
 
 // RolloutReport is what a front saw of versions under way since its last one.
 type RolloutReport struct {
-	Name    string
-	Life    int64
-	Seq     int64
-	Entries []rollout.Entry
+	Name    string          `json:"Name"`
+	Life    int64           `json:"Life"`
+	Seq     int64           `json:"Seq"`
+	Entries []rollout.Entry `json:"Entries"`
 }
 
 // RolloutTotals is all that a hut was told of versions under way, for the one with
 // the duty; Behind counts, by order, the fronts it heard lately that do not
 // know the last phase.
 type RolloutTotals struct {
-	ID      string
-	Life    int64
-	Seq     int64
-	Entries []rollout.Entry
-	Behind  map[int64]int `json:",omitempty"`
+	ID      string          `json:"ID"`
+	Life    int64           `json:"Life"`
+	Seq     int64           `json:"Seq"`
+	Entries []rollout.Entry `json:"Entries"`
+	Behind  map[int64]int   `json:"Behind,omitempty"`
 }
 
 type ShuffleMessage struct {
-	Nodes []peersampling.Node
+	Nodes []peersampling.Node `json:"Nodes"`
 }
 
 // instancePage is a page of the platform's list.
 type instancePage struct {
 	Instances []struct {
-		InstanceID      string `json:"InstanceId"`
-		Service         string
-		Address         string
-		Zone            string
-		Version         string
-		Slots           int
-		State           string
-		ColdRemainingMs float64
-	}
-	NextPageToken *string
+		InstanceID      string  `json:"InstanceId"`
+		Service         string  `json:"Service"`
+		Address         string  `json:"Address"`
+		Zone            string  `json:"Zone"`
+		Version         string  `json:"Version"`
+		Slots           int     `json:"Slots"`
+		State           string  `json:"State"`
+		ColdRemainingMs float64 `json:"ColdRemainingMs"`
+	} `json:"Instances"`
+	NextPageToken *string `json:"NextPageToken"`
 }
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -305,13 +305,13 @@
 
 // Status is what `swiftswitch status` shows.
 type Status struct {
-	Node    string
-	Zone    string
-	UpMs    int64
-	Leaving bool
-	View    []peersampling.Node
-	Hut     *ControlStatus `json:",omitempty"`
-	Trail   *FrontStatus   `json:",omitempty"`
+	Node    string              `json:"Node"`
+	Zone    string              `json:"Zone"`
+	UpMs    int64               `json:"UpMs"`
+	Leaving bool                `json:"Leaving"`
+	View    []peersampling.Node `json:"View"`
+	Hut     *ControlStatus      `json:"Hut,omitempty"`
+	Trail   *FrontStatus        `json:"Trail,omitempty"`
 }
 
 // Status tells how the node is doing.
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -19,13 +19,13 @@
 // of its value stands in Packed, on top of the one in force before the slot.
 type BallotRecord struct {
 	consensus.BallotState
-	Packed []byte `json:",omitempty"`
+	Packed []byte `json:"Packed,omitempty"`
 }
 
 // BodyRecord holds the part of the state that changes with the version only.
 type BodyRecord struct {
-	Version int64
-	Body    string
+	Version int64  `json:"Version"`
+	Body    string `json:"Body"`
 }
 
 const (
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -283,18 +283,18 @@
 
 // RolloutStatus is what the operator is told of an order.
 type RolloutStatus struct {
-	Service       string
-	State         string
-	TargetVersion string
-	FromVersion   string `json:",omitempty"`
-	Phase         consensus.Phase
-	DurationS     float64
+	Service       string          `json:"Service"`
+	State         string          `json:"State"`
+	TargetVersion string          `json:"TargetVersion"`
+	FromVersion   string          `json:"FromVersion,omitempty"`
+	Phase         consensus.Phase `json:"Phase"`
+	DurationS     float64         `json:"DurationS"`
 	// LeftS is how much of the term is left, where the order runs.
-	LeftS float64 `json:",omitempty"`
+	LeftS float64 `json:"LeftS,omitempty"`
 	// Asked of all tries Of that were seen went to the new version.
-	Asked int64  `json:",omitempty"`
-	Of    int64  `json:",omitempty"`
-	Why   string `json:",omitempty"`
+	Asked int64  `json:"Asked,omitempty"`
+	Of    int64  `json:"Of,omitempty"`
+	Why   string `json:"Why,omitempty"`
 }
 
 // duplicateOrderWindow is for how long, of AcknowledgeMs, a copy of an earlier order is
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -9,42 +9,42 @@
 
 // ControlStatus is the hut's part of the status.
 type ControlStatus struct {
-	ID      string
-	Slot    int64
-	Version int64
+	ID      string `json:"ID"`
+	Slot    int64  `json:"Slot"`
+	Version int64  `json:"Version"`
 	// Kept is the last slot on disk; BehindBy counts the slots that the huts
 	// heard lately know beyond this one's.
-	Kept     int64
-	BehindBy int64 `json:",omitempty"`
+	Kept     int64 `json:"Kept"`
+	BehindBy int64 `json:"BehindBy,omitempty"`
 	// Life numbers this identity's lives. Promised is the ballot below which
 	// this voter refuses, Accepted that of the value whose outcome it waits for.
-	Life     int64
-	Promised string `json:",omitempty"`
-	Accepted string `json:",omitempty"`
-	Voters   []string
-	Votes    bool
+	Life     int64    `json:"Life"`
+	Promised string   `json:"Promised,omitempty"`
+	Accepted string   `json:"Accepted,omitempty"`
+	Voters   []string `json:"Voters"`
+	Votes    bool     `json:"Votes"`
 	// VotersSlot decided the voters.
-	VotersSlot int64
+	VotersSlot int64 `json:"VotersSlot"`
 	// MajorityAgeMs is how long ago a majority of the voters, this one
 	// included, was last heard; Lone: too long to settle anything.
-	MajorityAgeMs int64
-	Lone          bool `json:",omitempty"`
+	MajorityAgeMs int64 `json:"MajorityAgeMs"`
+	Lone          bool  `json:"Lone,omitempty"`
 	// Resends counts the changes that are known when they are sent again, of
 	// all Changes that were ever taken.
-	Resends int
-	Changes int64
-	Epoch   int64
-	Holder  string
-	Polling bool
+	Resends int    `json:"Resends"`
+	Changes int64  `json:"Changes"`
+	Epoch   int64  `json:"Epoch"`
+	Holder  string `json:"Holder"`
+	Polling bool   `json:"Polling"`
 	// LeaseAgeMs is how long ago the holder asked for the lease that runs.
-	LeaseAgeMs int64 `json:",omitempty"`
-	Table      endpoints.Stamp
-	Searchers  int
-	Fronts     map[string]int64
-	Purge      int64    `json:",omitempty"`
-	Larders    []string `json:",omitempty"`
+	LeaseAgeMs int64            `json:"LeaseAgeMs,omitempty"`
+	Table      endpoints.Stamp  `json:"Table"`
+	Searchers  int              `json:"Searchers"`
+	Fronts     map[string]int64 `json:"Fronts"`
+	Purge      int64            `json:"Purge,omitempty"`
+	Larders    []string         `json:"Larders,omitempty"`
 	// Rollouts are the services' last orders, the last changed first.
-	Rollouts []RolloutStatus `json:",omitempty"`
+	Rollouts []RolloutStatus `json:"Rollouts,omitempty"`
 }
 
 func (h *ControlServer) Status() *ControlStatus {
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -668,27 +668,27 @@
 
 // FrontStatus is the trail's part of the status.
 type FrontStatus struct {
-	Ready     bool
-	Slot      int64
-	LastBuilt int64
-	Current   int64
-	Next      int64 `json:",omitempty"`
-	Table     endpoints.Stamp
-	Searchers int
-	Fronts    int
+	Ready     bool            `json:"Ready"`
+	Slot      int64           `json:"Slot"`
+	LastBuilt int64           `json:"LastBuilt"`
+	Current   int64           `json:"Current"`
+	Next      int64           `json:"Next,omitempty"`
+	Table     endpoints.Stamp `json:"Table"`
+	Searchers int             `json:"Searchers"`
+	Fronts    int             `json:"Fronts"`
 	// Connections to searchers, and how many of these do not answer.
-	Connections upstream.Count
-	Busy        int64
+	Connections upstream.Count `json:"Connections"`
+	Busy        int64          `json:"Busy"`
 	// Helped counts the requests in which this front gathered for another.
-	Helped int64
-	Slots  map[string][]string
+	Helped int64               `json:"Helped"`
+	Slots  map[string][]string `json:"Slots"`
 	// Copies and CopyBytes are what is kept, Purge the last purge known;
 	// Fetched counts fetches, Part is this node's part of the ceilings.
-	Copies    int
-	CopyBytes int
-	Purge     int64
-	Fetched   int64
-	Part      float64
+	Copies    int     `json:"Copies"`
+	CopyBytes int     `json:"CopyBytes"`
+	Purge     int64   `json:"Purge"`
+	Fetched   int64   `json:"Fetched"`
+	Part      float64 `json:"Part"`
 }
 
 func (t *FrontServer) Status() *FrontStatus {
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -8,12 +8,12 @@
 
 // Report is what a node answers to a voter that evaluates an admission.
 type Report struct {
-	ID   string
-	Slot int64
+	ID   string `json:"ID"`
+	Slot int64  `json:"Slot"`
 	// Leaving: it ends in order.
-	Leaving bool `json:",omitempty"`
+	Leaving bool `json:"Leaving,omitempty"`
 	// Silent are the voters that it has not heard for long.
-	Silent []string `json:",omitempty"`
+	Silent []string `json:"Silent,omitempty"`
 }
 
 // Admission is the request of a newcomer to become a voter, with the evidence
--- a/internal/peersampling/view.go
+++ b/internal/peersampling/view.go
@@ -8,12 +8,12 @@
 
 // Node is one entry of a view.
 type Node struct {
-	Name string
-	IP   string
-	Zone string
+	Name string `json:"Name"`
+	IP   string `json:"IP"`
+	Zone string `json:"Zone"`
 	// Hut tells whether the node keeps state.
-	Hut bool `json:",omitempty"`
-	Age int
+	Hut bool `json:"Hut,omitempty"`
+	Age int  `json:"Age"`
 }
 
 // View is one node's partial view of the others. It holds at most one entry by
--- a/internal/relay/saddle.go
+++ b/internal/relay/saddle.go
@@ -27,13 +27,13 @@
 
 // Front is one front that may be asked.
 type Front struct {
-	Name string
-	IP   string
-	Zone string
+	Name string `json:"Name"`
+	IP   string `json:"IP"`
+	Zone string `json:"Zone"`
 	// Out: it is not ready to help.
-	Out bool `json:",omitempty"`
+	Out bool `json:"Out,omitempty"`
 	// Keeps: it is no front, it keeps copies.
-	Keeps bool `json:",omitempty"`
+	Keeps bool `json:"Keeps,omitempty"`
 }
 
 // Choice picks fronts, leaving out those that failed lately.
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -101,9 +101,9 @@
 
 // Noted is a clock as it is kept on disk and told to others: milliseconds spent by order.
 type Noted struct {
-	Spent map[int64]int64
+	Spent map[int64]int64 `json:"Spent"`
 	// WallMs is the time of day at which it was noted.
-	WallMs int64 `json:",omitempty"`
+	WallMs int64 `json:"WallMs,omitempty"`
 }
 
 // NewClock goes on from what was noted; wall is the time of day now.
--- a/internal/upstream/hearsay.go
+++ b/internal/upstream/hearsay.go
@@ -49,9 +49,11 @@
 // Count is a summary of the searchers as this node sees them.
 type Count struct {
 	// Open counts connections, Most those to one searcher.
-	Open, Most int
+	Open int `json:"Open"`
+	Most int `json:"Most"`
 	// Silent searchers do not answer this node, Told not others either, as they say.
-	Silent, Told int
+	Silent int `json:"Silent"`
+	Told   int `json:"Told"`
 }
 
 // Count sums up.
