--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -21,6 +21,10 @@
 // than the margin over one lease duration. The clocks need not show the same
 // time, and messages may take as long as they like.
 //
+// The clocks must go on while a process or its machine is suspended. Go's
+// monotonic clock (CLOCK_MONOTONIC on Linux) does so for a paused process, but
+// not for a suspended machine; there only fencing protects.
+//
 // A voter's record of a grant is durable before the response leaves. So an
 // epoch is never granted twice, and a restarted voter knows the only holder
 // whose lease may rest on it. When that lease expires it does not know; so for
