--- a/internal/endpoints/delta.go
+++ b/internal/endpoints/delta.go
@@ -9,20 +9,20 @@
 // is a snapshot: it holds the whole table.
 type Delta struct {
 	// From and To are the stamps of the two tables.
-	From      Stamp `json:"From"`
-	To        Stamp `json:"To"`
-	NextEntry int64 `json:"NextEntry"`
-	// Set holds the endpoints that were added, or changed in another way than
+	From        Stamp `json:"From"`
+	To          Stamp `json:"To"`
+	NextOrdinal int64 `json:"NextEntry"`
+	// Upserts holds the endpoints that were added, or changed in another way than
 	// those below.
-	Set []Endpoint `json:"Set,omitempty"`
-	// Drains and Warm are the numbers of endpoints that began to drain, or
+	Upserts []Endpoint `json:"Set,omitempty"`
+	// Draining and Warm are the numbers of endpoints that began to drain, or
 	// ended their slow start, and changed in no other way.
-	Drains []int64 `json:"Drains,omitempty"`
-	Warm   []int64 `json:"Warm,omitempty"`
-	// Gone are the numbers of the endpoints that were removed.
-	Gone []int64 `json:"Gone,omitempty"`
-	// First holds the entries of Table.First that were added.
-	First map[string]string `json:"First,omitempty"`
+	Draining []int64 `json:"Drains,omitempty"`
+	WarmedUp []int64 `json:"Warm,omitempty"`
+	// Removed are the numbers of the endpoints that were removed.
+	Removed []int64 `json:"Gone,omitempty"`
+	// InitialVersions holds the entries of Table.First that were added.
+	InitialVersions map[string]string `json:"First,omitempty"`
 }
 
 // Diff computes the delta between two tables, or a snapshot of to where from is
@@ -32,32 +32,32 @@
 	if from == nil {
 		from = &Table{}
 	}
-	d := &Delta{From: from.Stamp, To: to.Stamp, NextEntry: to.NextEntry}
-	removed := make(map[int64]Endpoint, len(from.Searchers))
-	for _, e := range from.Searchers {
-		removed[e.Entry] = e
+	d := &Delta{From: from.Stamp, To: to.Stamp, NextOrdinal: to.NextOrdinal}
+	removed := make(map[int64]Endpoint, len(from.Endpoints))
+	for _, e := range from.Endpoints {
+		removed[e.Ordinal] = e
 	}
-	for _, e := range to.Searchers {
-		before, known := removed[e.Entry]
-		delete(removed, e.Entry)
+	for _, e := range to.Endpoints {
+		before, known := removed[e.Ordinal]
+		delete(removed, e.Ordinal)
 		if !known {
-			d.Set = append(d.Set, e)
+			d.Upserts = append(d.Upserts, e)
 			continue
 		}
 		d.addChange(before, e)
 	}
 	for number := range removed {
-		d.Gone = append(d.Gone, number)
+		d.Removed = append(d.Removed, number)
 	}
-	slices.Sort(d.Gone)
-	for service, version := range to.First {
-		if from.First[service] != "" {
+	slices.Sort(d.Removed)
+	for service, version := range to.InitialVersions {
+		if from.InitialVersions[service] != "" {
 			continue
 		}
-		if d.First == nil {
-			d.First = map[string]string{}
+		if d.InitialVersions == nil {
+			d.InitialVersions = map[string]string{}
 		}
-		d.First[service] = version
+		d.InitialVersions[service] = version
 	}
 	return d
 }
@@ -68,18 +68,18 @@
 	if before == after {
 		return
 	}
-	drains := !before.Drains && after.Drains
-	warm := before.Cold && !after.Cold
-	before.Drains, before.Cold = after.Drains, after.Cold
+	drains := !before.Draining && after.Draining
+	warm := before.WarmingUp && !after.WarmingUp
+	before.Draining, before.WarmingUp = after.Draining, after.WarmingUp
 	if before != after || !drains && !warm {
-		d.Set = append(d.Set, after)
+		d.Upserts = append(d.Upserts, after)
 		return
 	}
 	if drains {
-		d.Drains = append(d.Drains, after.Entry)
+		d.Draining = append(d.Draining, after.Ordinal)
 	}
 	if warm {
-		d.Warm = append(d.Warm, after.Entry)
+		d.WarmedUp = append(d.WarmedUp, after.Ordinal)
 	}
 }
 
@@ -93,32 +93,32 @@
 	if t.Stamp != d.From {
 		return nil
 	}
-	next := &Table{Stamp: d.To, NextEntry: d.NextEntry, First: maps.Clone(t.First)}
-	if next.First == nil {
-		next.First = map[string]string{}
+	next := &Table{Stamp: d.To, NextOrdinal: d.NextOrdinal, InitialVersions: maps.Clone(t.InitialVersions)}
+	if next.InitialVersions == nil {
+		next.InitialVersions = map[string]string{}
 	}
-	maps.Copy(next.First, d.First)
-	set := make(map[int64]Endpoint, len(d.Set))
-	for _, e := range d.Set {
-		set[e.Entry] = e
+	maps.Copy(next.InitialVersions, d.InitialVersions)
+	set := make(map[int64]Endpoint, len(d.Upserts))
+	for _, e := range d.Upserts {
+		set[e.Ordinal] = e
 	}
-	drains, warm, gone := numberSet(d.Drains), numberSet(d.Warm), numberSet(d.Gone)
-	for _, e := range t.Searchers {
-		if gone[e.Entry] {
+	drains, warm, gone := numberSet(d.Draining), numberSet(d.WarmedUp), numberSet(d.Removed)
+	for _, e := range t.Endpoints {
+		if gone[e.Ordinal] {
 			continue
 		}
-		if changed, ok := set[e.Entry]; ok {
+		if changed, ok := set[e.Ordinal]; ok {
 			e = changed
-			delete(set, e.Entry)
+			delete(set, e.Ordinal)
 		}
-		e.Drains = e.Drains || drains[e.Entry]
-		e.Cold = e.Cold && !warm[e.Entry]
-		next.Searchers = append(next.Searchers, e)
+		e.Draining = e.Draining || drains[e.Ordinal]
+		e.WarmingUp = e.WarmingUp && !warm[e.Ordinal]
+		next.Endpoints = append(next.Endpoints, e)
 	}
 	for _, e := range set {
-		next.Searchers = append(next.Searchers, e)
+		next.Endpoints = append(next.Endpoints, e)
 	}
-	sortByID(next.Searchers)
+	sortByID(next.Endpoints)
 	return next
 }
 
--- a/internal/endpoints/delta_test.go
+++ b/internal/endpoints/delta_test.go
@@ -10,10 +10,10 @@
 // Flags that change travel as numbers alone, and a delta applies to the table
 // that it was computed from and to no other.
 func TestDiff(t *testing.T) {
-	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e", Cold: true}, {ID: "f"}}, Stamp{Epoch: 1, Seq: 1})
-	b, _ := NextTable(a, []Endpoint{{ID: "a"}, {ID: "c", Drains: true}, {ID: "d"}, {ID: "e"}, {ID: "f", Cold: true}}, Stamp{Epoch: 1, Seq: 2})
+	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e", WarmingUp: true}, {ID: "f"}}, Stamp{Epoch: 1, Sequence: 1})
+	b, _ := NextTable(a, []Endpoint{{ID: "a"}, {ID: "c", Draining: true}, {ID: "d"}, {ID: "e"}, {ID: "f", WarmingUp: true}}, Stamp{Epoch: 1, Sequence: 2})
 	d := Diff(a, b)
-	if len(d.Set) != 2 || len(d.Gone) != 1 || len(d.Drains) != 1 || len(d.Warm) != 1 {
+	if len(d.Upserts) != 2 || len(d.Removed) != 1 || len(d.Draining) != 1 || len(d.WarmedUp) != 1 {
 		t.Fatalf("%+v", d)
 	}
 	if got := a.Apply(d); !reflect.DeepEqual(got, b) {
@@ -25,8 +25,8 @@
 }
 
 func TestApplySnapshot(t *testing.T) {
-	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}}, Stamp{Epoch: 1, Seq: 1})
-	b, _ := NextTable(nil, []Endpoint{{ID: "c", Service: "s", Version: "v1"}}, Stamp{Epoch: 2, Seq: 1})
+	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}}, Stamp{Epoch: 1, Sequence: 1})
+	b, _ := NextTable(nil, []Endpoint{{ID: "c", Service: "s", Version: "v1"}}, Stamp{Epoch: 2, Sequence: 1})
 	snapshot := Diff(nil, b)
 	for name, base := range map[string]*Table{"no table": nil, "another table": a, "the same table": b} {
 		t.Run(name, func(t *testing.T) {
@@ -68,9 +68,9 @@
 			case 0:
 				continue
 			case 1:
-				e.Drains = true
+				e.Draining = true
 			case 2:
-				e.Cold = false
+				e.WarmingUp = false
 			case 3:
 				e.Addr = fmt.Sprint("10.0.0.", step, ":80")
 			}
@@ -78,15 +78,15 @@
 		}
 		for i := range random.IntN(4) {
 			next = append(next, Endpoint{
-				ID:      fmt.Sprintf("i-%d-%d-%d", random.IntN(100), step, i),
-				Service: fmt.Sprint("s", random.IntN(3)),
-				Version: fmt.Sprint("v", random.IntN(3)),
-				Cold:    random.IntN(2) == 0,
+				ID:        fmt.Sprintf("i-%d-%d-%d", random.IntN(100), step, i),
+				Service:   fmt.Sprint("s", random.IntN(3)),
+				Version:   fmt.Sprint("v", random.IntN(3)),
+				WarmingUp: random.IntN(2) == 0,
 			})
 		}
 		random.Shuffle(len(next), func(i, j int) { next[i], next[j] = next[j], next[i] })
 		listed = next
-		table, _ := NextTable(history[step], listed, Stamp{Epoch: 1, By: "a", Seq: int64(step) + 1})
+		table, _ := NextTable(history[step], listed, Stamp{Epoch: 1, Holder: "a", Sequence: int64(step) + 1})
 		history = append(history, table)
 	}
 	return history
--- a/internal/endpoints/stamp.go
+++ b/internal/endpoints/stamp.go
@@ -8,14 +8,14 @@
 type Stamp struct {
 	// Epoch is the epoch of the lease under which the table was made.
 	Epoch int64 `json:"Epoch"`
-	// By is the node that made the table. It breaks ties between two nodes
+	// Holder is the node that made the table. It breaks ties between two nodes
 	// that claimed the same epoch.
-	By string `json:"By"`
-	// Seq counts the tables that this node made in this epoch, from 1.
-	Seq int64 `json:"Seq"`
+	Holder string `json:"By"`
+	// Sequence counts the tables that this node made in this epoch, from 1.
+	Sequence int64 `json:"Seq"`
 }
 
 // Before reports whether s is older than o. The order is total.
 func (s Stamp) Before(o Stamp) bool {
-	return cmp.Or(cmp.Compare(s.Epoch, o.Epoch), cmp.Compare(s.By, o.By), cmp.Compare(s.Seq, o.Seq)) < 0
+	return cmp.Or(cmp.Compare(s.Epoch, o.Epoch), cmp.Compare(s.Holder, o.Holder), cmp.Compare(s.Sequence, o.Sequence)) < 0
 }
--- a/internal/endpoints/stamp_test.go
+++ b/internal/endpoints/stamp_test.go
@@ -6,10 +6,10 @@
 func TestStampBefore(t *testing.T) {
 	ascending := []Stamp{
 		{},
-		{Epoch: 1, By: "a", Seq: 9},
-		{Epoch: 1, By: "b", Seq: 1},
-		{Epoch: 1, By: "b", Seq: 2},
-		{Epoch: 2, By: "a", Seq: 1},
+		{Epoch: 1, Holder: "a", Sequence: 9},
+		{Epoch: 1, Holder: "b", Sequence: 1},
+		{Epoch: 1, Holder: "b", Sequence: 2},
+		{Epoch: 2, Holder: "a", Sequence: 1},
 	}
 	for i, a := range ascending {
 		for j, b := range ascending {
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -19,26 +19,26 @@
 	Version string `json:"Version,omitempty"`
 	// Slots is the number of requests that it runs at the same time.
 	Slots int `json:"Slots,omitempty"`
-	// Drains: it shuts down gracefully and gets no new requests.
-	Drains bool `json:"Drains,omitempty"`
-	// Cold: it is in slow start.
-	Cold bool `json:"Cold,omitempty"`
-	// Entry numbers the endpoints in the order in which they were first listed.
+	// Draining: it shuts down gracefully and gets no new requests.
+	Draining bool `json:"Drains,omitempty"`
+	// WarmingUp: it is in slow start.
+	WarmingUp bool `json:"Cold,omitempty"`
+	// Ordinal numbers the endpoints in the order in which they were first listed.
 	// No number is given twice. It stands for the endpoint in deltas and
 	// messages, and earlier endpoints are preferred for slots.
-	Entry int64 `json:"Entry"`
+	Ordinal int64 `json:"Entry"`
 }
 
 // Table is the list of endpoints, sorted by ID, under its stamp. It is
 // immutable once made.
 type Table struct {
 	Stamp Stamp `json:"Stamp"`
-	// NextEntry is the number that the next new endpoint gets.
-	NextEntry int64      `json:"NextEntry"`
-	Searchers []Endpoint `json:"Searchers"`
-	// First is the software version that each service had when it was first
+	// NextOrdinal is the number that the next new endpoint gets.
+	NextOrdinal int64      `json:"NextEntry"`
+	Endpoints   []Endpoint `json:"Searchers"`
+	// InitialVersions is the software version that each service had when it was first
 	// listed. It stays in force until a rollout replaces it.
-	First map[string]string `json:"First,omitempty"`
+	InitialVersions map[string]string `json:"First,omitempty"`
 }
 
 // Merge returns the newer of two tables, either of which may be nil. It is
@@ -59,16 +59,16 @@
 // but the stamp changed.
 func NextTable(old *Table, list []Endpoint, stamp Stamp) (*Table, bool) {
 	if old == nil {
-		t := &Table{Stamp: stamp, NextEntry: 1, First: map[string]string{}}
+		t := &Table{Stamp: stamp, NextOrdinal: 1, InitialVersions: map[string]string{}}
 		t.addListed(nil, list)
 		return t, true
 	}
-	t := &Table{Stamp: stamp, NextEntry: old.NextEntry, First: maps.Clone(old.First)}
-	if t.First == nil {
-		t.First = map[string]string{}
+	t := &Table{Stamp: stamp, NextOrdinal: old.NextOrdinal, InitialVersions: maps.Clone(old.InitialVersions)}
+	if t.InitialVersions == nil {
+		t.InitialVersions = map[string]string{}
 	}
-	t.addListed(old.Searchers, list)
-	return t, !slices.Equal(t.Searchers, old.Searchers)
+	t.addListed(old.Endpoints, list)
+	return t, !slices.Equal(t.Endpoints, old.Endpoints)
 }
 
 // addListed fills the table with the listed endpoints. old are the endpoints
@@ -78,19 +78,19 @@
 	for _, e := range old {
 		known[e.ID] = e
 	}
-	t.Searchers = append(t.Searchers, list...)
-	sortByID(t.Searchers)
-	for i := range t.Searchers {
-		e := &t.Searchers[i]
+	t.Endpoints = append(t.Endpoints, list...)
+	sortByID(t.Endpoints)
+	for i := range t.Endpoints {
+		e := &t.Endpoints[i]
 		if before, ok := known[e.ID]; ok {
-			e.Entry = before.Entry
+			e.Ordinal = before.Ordinal
 			// The list lags and may show an endpoint as ready again, but one
 			// that drains never comes back.
-			e.Drains = e.Drains || before.Drains
+			e.Draining = e.Draining || before.Draining
 			continue
 		}
-		e.Entry = t.NextEntry
-		t.NextEntry++
+		e.Ordinal = t.NextOrdinal
+		t.NextOrdinal++
 	}
 	t.recordFirstVersions()
 }
@@ -100,8 +100,8 @@
 // of those that tie the lowest.
 func (t *Table) recordFirstVersions() {
 	counts := map[string]map[string]int{}
-	for _, e := range t.Searchers {
-		if e.Version == "" || t.First[e.Service] != "" {
+	for _, e := range t.Endpoints {
+		if e.Version == "" || t.InitialVersions[e.Service] != "" {
 			continue
 		}
 		if counts[e.Service] == nil {
@@ -110,7 +110,7 @@
 		counts[e.Service][e.Version]++
 	}
 	for service, byVersion := range counts {
-		t.First[service] = slices.MinFunc(slices.Collect(maps.Keys(byVersion)), func(a, b string) int {
+		t.InitialVersions[service] = slices.MinFunc(slices.Collect(maps.Keys(byVersion)), func(a, b string) int {
 			return cmp.Or(cmp.Compare(byVersion[b], byVersion[a]), cmp.Compare(a, b))
 		})
 	}
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -8,18 +8,18 @@
 func TestNextTable(t *testing.T) {
 	list := []Endpoint{{ID: "b", Service: "s"}, {ID: "a", Service: "s"}}
 	first, changed := NextTable(nil, list, Stamp{1, "h", 1})
-	if !changed || first.Searchers[0].ID != "a" || first.Searchers[0].Entry != 1 || first.Searchers[1].Entry != 2 {
+	if !changed || first.Endpoints[0].ID != "a" || first.Endpoints[0].Ordinal != 1 || first.Endpoints[1].Ordinal != 2 {
 		t.Fatalf("first table: %+v", first)
 	}
 	if _, changed := NextTable(first, list, Stamp{1, "h", 2}); changed {
 		t.Fatal("the same list is a change")
 	}
-	second, changed := NextTable(first, []Endpoint{{ID: "a", Service: "s", Drains: true}, {ID: "0", Service: "s"}}, Stamp{1, "h", 2})
-	if !changed || second.Searchers[0].Entry != 3 || second.Searchers[1].Entry != 1 {
+	second, changed := NextTable(first, []Endpoint{{ID: "a", Service: "s", Draining: true}, {ID: "0", Service: "s"}}, Stamp{1, "h", 2})
+	if !changed || second.Endpoints[0].Ordinal != 3 || second.Endpoints[1].Ordinal != 1 {
 		t.Fatalf("numbers changed: %+v", second)
 	}
 	third, _ := NextTable(second, list, Stamp{2, "g", 1})
-	if !third.Searchers[0].Drains {
+	if !third.Endpoints[0].Draining {
 		t.Fatal("a draining endpoint came back")
 	}
 }
@@ -34,13 +34,13 @@
 		{ID: "f", Service: "unknown"},
 	}, Stamp{Epoch: 1})
 	want := map[string]string{"majority": "v2", "tie": "v1"}
-	if !reflect.DeepEqual(first.First, want) {
-		t.Fatalf("got %v", first.First)
+	if !reflect.DeepEqual(first.InitialVersions, want) {
+		t.Fatalf("got %v", first.InitialVersions)
 	}
 	second, _ := NextTable(first, []Endpoint{{ID: "g", Service: "tie", Version: "v3"}, {ID: "f", Service: "unknown", Version: "v1"}}, Stamp{Epoch: 2})
 	want["unknown"] = "v1"
-	if !reflect.DeepEqual(second.First, want) {
-		t.Fatalf("second table: got %v", second.First)
+	if !reflect.DeepEqual(second.InitialVersions, want) {
+		t.Fatalf("second table: got %v", second.InitialVersions)
 	}
 }
 
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -102,7 +102,7 @@
 func (t *FrontServer) applyTrafficSplits() {
 	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]observedRollout{}
 	if t.table != nil {
-		for service, first := range t.table.First {
+		for service, first := range t.table.InitialVersions {
 			lanes[service] = &rollout.Lane{From: first}
 		}
 	}
@@ -140,8 +140,8 @@
 	if t.table == nil {
 		return 0
 	}
-	for _, s := range t.table.Searchers {
-		if s.Service == service && s.Version == version && !s.Drains {
+	for _, s := range t.table.Endpoints {
+		if s.Service == service && s.Version == version && !s.Draining {
 			n++
 		}
 	}
@@ -179,8 +179,8 @@
 	}
 	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Far()}
 	if c.New {
-		if c.Who = p.Entry; w.aggregateEndpoints {
-			c.Who = p.Entry % maxTrackedEndpoints
+		if c.Who = p.Ordinal; w.aggregateEndpoints {
+			c.Who = p.Ordinal % maxTrackedEndpoints
 		}
 	}
 	if s, ok := attemptSample(o, r.Aim); ok {
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -163,7 +163,7 @@
 	h.pollLease.SetIncarnation(h.incarnation)
 	h.pollLease.ObserveEpoch(leases[pollerRole].Epoch, leases[pollerRole].Holder)
 	if h.table != nil {
-		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.By)
+		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.Holder)
 	}
 	h.applyVoters()
 	h.rollouts = newRolloutController(terms, n.steady())
--- a/internal/lodge/lease_test.go
+++ b/internal/lodge/lease_test.go
@@ -117,8 +117,8 @@
 		return a.Epoch > other && a == b && b == c
 	})
 	one.loop.Call(func() {
-		for _, x := range one.table.Searchers {
-			if x.ID == "plain-a" && !x.Drains {
+		for _, x := range one.table.Endpoints {
+			if x.ID == "plain-a" && !x.Draining {
 				t.Error("what drained during the cut is ready again")
 			}
 		}
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -45,7 +45,7 @@
 		}
 		wg.Wait()
 		for i, table := range tables {
-			if table == nil || len(table.Searchers) != len(s) {
+			if table == nil || len(table.Endpoints) != len(s) {
 				t.Fatalf("front %d has %v", i, table)
 			}
 		}
@@ -53,13 +53,13 @@
 	// What several of them tell of a searcher reaches another at once.
 	need := requiredReporters(fronts/2 + 1)
 	for i := range need {
-		if err := w.nodes["1"].call.CallJSON(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Searchers[0].Entry}}, nil, time.Second); err != nil {
+		if err := w.nodes["1"].call.CallJSON(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Endpoints[0].Ordinal}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var say WatchResponse
 	ask := WatchRequest{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.nodes["1"].call.CallJSON(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Searchers[0].Entry {
+	if err := w.nodes["1"].call.CallJSON(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Endpoints[0].Ordinal {
 		t.Errorf("told of silent searchers: %v, %v", say.Dark, err)
 	}
 	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -198,7 +198,7 @@
 	}
 	h.loop.Call(func() {
 		h.frontCount, h.persistedFrontCount = 7, 7
-		stamp = endpoints.Stamp{Epoch: h.pollLease.ObservedEpoch + 5, By: h.acceptor.ID, Seq: 1}
+		stamp = endpoints.Stamp{Epoch: h.pollLease.ObservedEpoch + 5, Holder: h.acceptor.ID, Sequence: 1}
 		list := []endpoints.Endpoint{{ID: "only-here", Service: "plain", Addr: "127.0.0.1:1", Slots: 1}}
 		table, _ := endpoints.NextTable(h.table, list, stamp)
 		h.setTable(table)
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -94,15 +94,15 @@
 			events.Log(events.DiscoveryDiscarded, "epoch", epoch)
 			return
 		}
-		stamp := endpoints.Stamp{Epoch: epoch, By: h.pollLease.Self, Seq: 1}
-		if h.table != nil && h.table.Stamp.Epoch == stamp.Epoch && h.table.Stamp.By == stamp.By {
-			stamp.Seq = h.table.Stamp.Seq + 1
+		stamp := endpoints.Stamp{Epoch: epoch, Holder: h.pollLease.Self, Sequence: 1}
+		if h.table != nil && h.table.Stamp.Epoch == stamp.Epoch && h.table.Stamp.Holder == stamp.Holder {
+			stamp.Sequence = h.table.Stamp.Sequence + 1
 		}
 		t, changed := endpoints.NextTable(h.table, list, stamp)
 		if !changed {
 			return
 		}
-		events.Log(events.EndpointsChanged, "searchers", len(t.Searchers), "epoch", stamp.Epoch, "seq", stamp.Seq)
+		events.Log(events.EndpointsChanged, "searchers", len(t.Endpoints), "epoch", stamp.Epoch, "seq", stamp.Sequence)
 		var held endpoints.Stamp
 		if h.table != nil {
 			held = h.table.Stamp
@@ -122,7 +122,7 @@
 			return
 		}
 	}
-	h.pollLease.ObserveEpoch(t.Stamp.Epoch, t.Stamp.By)
+	h.pollLease.ObserveEpoch(t.Stamp.Epoch, t.Stamp.Holder)
 	if m := endpoints.Merge(h.table, t); m != h.table {
 		h.setTable(m)
 	}
@@ -157,7 +157,7 @@
 			seen[i.InstanceID] = true
 			out = append(out, endpoints.Endpoint{
 				ID: i.InstanceID, Service: i.Service, Addr: i.Address, Zone: i.Zone, Version: i.Version, Slots: i.Slots,
-				Drains: i.State != "ready", Cold: i.ColdRemainingMs > 0,
+				Draining: i.State != "ready", WarmingUp: i.ColdRemainingMs > 0,
 			})
 		}
 		if p.NextPageToken == nil || *p.NextPageToken == "" {
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -244,12 +244,12 @@
 	if h.table == nil {
 		return 0, 0
 	}
-	for _, s := range h.table.Searchers {
-		if s.Service != r.Service || s.Drains {
+	for _, s := range h.table.Endpoints {
+		if s.Service != r.Service || s.Draining {
 			continue
 		}
 		switch slots := max(1, s.Slots); {
-		case s.Version == r.Target && !s.Cold:
+		case s.Version == r.Target && !s.WarmingUp:
 			ready += slots
 		case s.Version == r.From:
 			old += slots
@@ -372,7 +372,7 @@
 		if o.From = old.ActiveVersion(); !known {
 			h.loop.Call(func() {
 				if h.table != nil {
-					o.From = h.table.First[o.Service]
+					o.From = h.table.InitialVersions[o.Service]
 				}
 			})
 		}
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -73,7 +73,7 @@
 			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
 		}
 		if h.table != nil {
-			st.Table, st.Searchers = h.table.Stamp, len(h.table.Searchers)
+			st.Table, st.Searchers = h.table.Stamp, len(h.table.Endpoints)
 		}
 		for name, f := range h.fronts {
 			st.Fronts[name] = f.slot
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -587,7 +587,7 @@
 	}
 	t.frontend.Set(s)
 	if !t.host.leaving.Load() && t.ready.CompareAndSwap(false, true) {
-		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Searchers))
+		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Endpoints))
 	}
 }
 
@@ -706,7 +706,7 @@
 			st.Next = t.layouts.Next.Version
 		}
 		if t.table != nil {
-			st.Table, st.Searchers = t.table.Stamp, len(t.table.Searchers)
+			st.Table, st.Searchers = t.table.Stamp, len(t.table.Endpoints)
 		}
 		for _, s := range t.layouts.Current.Shards {
 			st.Slots[s] = t.layouts.Holders(s)
--- a/internal/scatter/legs_test.go
+++ b/internal/scatter/legs_test.go
@@ -47,7 +47,7 @@
 	})
 	t := &endpoints.Table{}
 	for i := range n {
-		t.Searchers = append(t.Searchers, endpoints.Endpoint{ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: ln.Addr().String(), Slots: 2, Entry: int64(i)})
+		t.Endpoints = append(t.Endpoints, endpoints.Endpoint{ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: ln.Addr().String(), Slots: 2, Ordinal: int64(i)})
 	}
 	rng.SetTable(t)
 	born := time.Now()
--- a/internal/shardmap/switchback.go
+++ b/internal/shardmap/switchback.go
@@ -113,7 +113,7 @@
 	b.settled = false
 	b.listed = map[string][]endpoints.Endpoint{}
 	alive := map[string]bool{}
-	for _, s := range t.Searchers {
+	for _, s := range t.Endpoints {
 		b.listed[s.Service] = append(b.listed[s.Service], s)
 		alive[s.ID] = true
 	}
@@ -198,7 +198,7 @@
 	for _, shard := range c.Shards {
 		there, version := 0, b.held(shard)[0]
 		for _, s := range b.listed[shard] {
-			if !s.Drains && (version == "" || s.Version == version) {
+			if !s.Draining && (version == "" || s.Version == version) {
 				there++
 			}
 		}
@@ -293,7 +293,7 @@
 		shard := at.shard
 		usable := map[string]endpoints.Endpoint{}
 		for _, s := range b.listed[shard] {
-			if !s.Drains && (at.version == "" || s.Version == at.version) {
+			if !s.Draining && (at.version == "" || s.Version == at.version) {
 				usable[s.ID] = s
 			}
 		}
@@ -311,7 +311,7 @@
 			} else if !silent {
 				sl.Until = now + b.opt.Lease
 			}
-			sl.Full = sl.Full || b.full[s.ID] || !s.Cold
+			sl.Full = sl.Full || b.full[s.ID] || !s.WarmingUp
 			keep = append(keep, sl)
 			held[sl.Searcher] = true
 		}
@@ -327,13 +327,13 @@
 			if si != sj {
 				return sj
 			}
-			return line[i].Entry < line[j].Entry
+			return line[i].Ordinal < line[j].Ordinal
 		})
 		for _, s := range line {
 			if len(keep) >= b.opt.R {
 				break
 			}
-			keep = append(keep, Slot{Searcher: s.ID, Entry: s.Entry, Until: now + b.opt.Lease, Full: b.full[s.ID] || !s.Cold})
+			keep = append(keep, Slot{Searcher: s.ID, Entry: s.Ordinal, Until: now + b.opt.Lease, Full: b.full[s.ID] || !s.WarmingUp})
 		}
 		b.slots[at] = keep
 	}
--- a/internal/shardmap/trace_test.go
+++ b/internal/shardmap/trace_test.go
@@ -28,10 +28,10 @@
 				if id == "" {
 					continue
 				}
-				l = append(l, endpoints.Endpoint{ID: strings.TrimRight(id, "!*"), Service: shard, Version: version, Drains: strings.HasSuffix(id, "!"), Cold: strings.HasSuffix(id, "*")})
+				l = append(l, endpoints.Endpoint{ID: strings.TrimRight(id, "!*"), Service: shard, Version: version, Draining: strings.HasSuffix(id, "!"), WarmingUp: strings.HasSuffix(id, "*")})
 			}
 		}
-		*table, _ = endpoints.NextTable(*table, l, endpoints.Stamp{Epoch: 1, Seq: int64(ms) + 1})
+		*table, _ = endpoints.NextTable(*table, l, endpoints.Stamp{Epoch: 1, Sequence: int64(ms) + 1})
 		b.Listed(*table, now)
 	case "built": // built VERSION SHARDS AGE at-once|waits
 		v, _ := strconv.ParseInt(f[2], 10, 64)
--- a/internal/upstream/hearsay.go
+++ b/internal/upstream/hearsay.go
@@ -21,7 +21,7 @@
 				answered++
 			}
 		case p.missedAt.After(since):
-			out = append(out, p.Entry)
+			out = append(out, p.Ordinal)
 		}
 	}
 	if 3*len(out) > answered {
@@ -40,7 +40,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
-		if dark[p.Entry] {
+		if dark[p.Ordinal] {
 			p.told = until
 		}
 	}
--- a/internal/upstream/hearsay_test.go
+++ b/internal/upstream/hearsay_test.go
@@ -29,7 +29,7 @@
 		t.Fatal("a searcher that was given no time is told of")
 	}
 	end(near, late, 300*time.Millisecond)
-	if got := g.Missed(time.Second); misses != 1 || !slices.Equal(got, []int64{near.Entry}) {
+	if got := g.Missed(time.Second); misses != 1 || !slices.Equal(got, []int64{near.Ordinal}) {
 		t.Fatalf("missed %v, told %d times", got, misses)
 	}
 	for s := 2; s < 5; s++ {
@@ -46,7 +46,7 @@
 	} else {
 		g.Unchoose(p, start)
 	}
-	g.Tell([]int64{near.Entry}, time.Now().Add(time.Minute))
+	g.Tell([]int64{near.Ordinal}, time.Now().Add(time.Minute))
 	if p, start := g.Choose(Among{Service: "s7"}, nil, target, false); p == near {
 		t.Fatal("what others tell is not heard")
 	} else {
--- a/internal/upstream/traverse.go
+++ b/internal/upstream/traverse.go
@@ -205,8 +205,8 @@
 	g.mu.Lock()
 	seen := map[string]bool{}
 	services := map[string][]*Peer{}
-	for _, s := range t.Searchers {
-		if s.Drains {
+	for _, s := range t.Endpoints {
+		if s.Draining {
 			continue
 		}
 		seen[s.ID] = true
@@ -216,7 +216,7 @@
 			g.peers[s.ID] = p
 		}
 		// The rest never changes in one life, and is read without the lock.
-		p.Slots, p.Cold = s.Slots, s.Cold
+		p.Slots, p.WarmingUp = s.Slots, s.WarmingUp
 		services[s.Service] = append(services[s.Service], p)
 	}
 	for id, p := range g.peers {
@@ -342,7 +342,7 @@
 	if over := queue + 1 - slots; over > 0 {
 		s += lat * float64(over) / float64(slots)
 	}
-	if p.Cold {
+	if p.WarmingUp {
 		s += lat * 0.6
 	}
 	s += g.opt.FarPenalty * ms(target) * float64(p.far) / 2
@@ -604,7 +604,7 @@
 	full, silent, missed := false, false, false
 	g.mu.Lock()
 	p.ended(start)
-	o.Cold = p.Cold
+	o.Cold = p.WarmingUp
 	switch {
 	case o.Verdict == Answered || o.Verdict == NotRun && o.Status != 421:
 		if p.fails >= g.opt.FailsOut {
--- a/internal/upstream/traverse_test.go
+++ b/internal/upstream/traverse_test.go
@@ -66,7 +66,7 @@
 	}, Many: 5, FailsOut: 3, OutFor: time.Second, FarPenalty: 0.15, Forget: 3 * time.Second})
 	tab, _ := endpoints.NextTable(nil, []endpoints.Endpoint{
 		{ID: "a", Service: "s", Zone: "near", Slots: 2}, {ID: "b", Service: "s", Zone: "far", Slots: 2},
-		{ID: "d", Service: "s", Zone: "near", Slots: 2, Drains: true}, {ID: "o", Service: "other", Zone: "near"},
+		{ID: "d", Service: "s", Zone: "near", Slots: 2, Draining: true}, {ID: "o", Service: "other", Zone: "near"},
 	}, endpoints.Stamp{Epoch: 1})
 	g.SetTable(tab)
 	target := 100 * time.Millisecond
