--- a/internal/cache/larder_test.go
+++ b/internal/cache/larder_test.go
@@ -73,7 +73,7 @@
 	case "purge": // purge SEQ FLOOR [/PATH | TAG]...: the newest ones, the last being SEQ
 		var l []Purge
 		for i, name := range f[4:] {
-			p := Purge{N: num(f[2]) - int64(len(f[4:])-1-i)}
+			p := Purge{Seq: num(f[2]) - int64(len(f[4:])-1-i)}
 			if strings.HasPrefix(name, "/") {
 				p.Host, p.Path = "H", name
 			} else {
--- a/internal/cache/notices.go
+++ b/internal/cache/notices.go
@@ -30,13 +30,13 @@
 		return
 	}
 	for _, p := range list {
-		if p.N <= n.Seq || p.N > seq {
+		if p.Seq <= n.Seq || p.Seq > seq {
 			continue
 		}
 		if p.Tag != "" {
-			n.tags[p.Tag] = p.N
+			n.tags[p.Tag] = p.Seq
 		} else {
-			n.paths[Key(p.Host, p.Path)] = p.N
+			n.paths[Key(p.Host, p.Path)] = p.Seq
 		}
 	}
 	if floor > n.Seq {
--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -9,36 +9,36 @@
 
 // Response is an acceptor's reply.
 type Response struct {
-	ID string `json:"ID"`
-	// Slot is the last slot that the acceptor knows as decided.
-	Slot int64 `json:"Slot"`
+	AcceptorID string `json:"ID"`
+	// DecidedSlot is the last slot that the acceptor knows as decided.
+	DecidedSlot int64 `json:"Slot"`
 	// OK: promised, or accepted.
 	OK bool `json:"OK"`
 	// Promised is the ballot below which the acceptor refuses.
 	Promised Ballot `json:"Promised"`
-	// Accepted and Value: what it accepted earlier for this slot, if anything.
-	Accepted Ballot `json:"Accepted"`
-	Value    *Value `json:"Value,omitempty"`
-	// Ahead carries the decided state where the acceptor knows more than the asker.
-	Ahead *State `json:"Ahead,omitempty"`
+	// AcceptedBallot and Value: what it accepted earlier for this slot, if anything.
+	AcceptedBallot Ballot `json:"Accepted"`
+	AcceptedValue  *Value `json:"Value,omitempty"`
+	// NewerState carries the decided state where the acceptor knows more than the asker.
+	NewerState *State `json:"Ahead,omitempty"`
 }
 
 // Acceptor is what one voter keeps. All of it is written to disk before a
 // reply that changed it leaves.
 type Acceptor struct {
-	ID       string `json:"ID"`
-	State    State  `json:"State"`
-	Promised Ballot `json:"Promised"`
-	Accepted Ballot `json:"Accepted"`
-	Value    *Value `json:"Value,omitempty"`
+	ID             string `json:"ID"`
+	State          State  `json:"State"`
+	Promised       Ballot `json:"Promised"`
+	AcceptedBallot Ballot `json:"Accepted"`
+	AcceptedValue  *Value `json:"Value,omitempty"`
 }
 
 // Handle answers an Ask; changed tells whether the acceptor must be written first.
 func (a *Acceptor) Handle(m Request) (say Response, changed bool) {
-	say = Response{ID: a.ID, Slot: a.State.Slot}
+	say = Response{AcceptorID: a.ID, DecidedSlot: a.State.Slot}
 	if m.Slot <= a.State.Slot {
 		st := a.State
-		say.Ahead = &st
+		say.NewerState = &st
 		return say, false
 	}
 	if m.Slot > a.State.Slot+1 || !a.State.IsVoter(a.ID) {
@@ -54,10 +54,10 @@
 	if m.Value == nil {
 		changed = a.Promised.Less(m.Ballot)
 		a.Promised = m.Ballot
-		say.Accepted, say.Value = a.Accepted, a.Value
+		say.AcceptedBallot, say.AcceptedValue = a.AcceptedBallot, a.AcceptedValue
 	} else {
 		changed = true
-		a.Promised, a.Accepted, a.Value = m.Ballot, m.Ballot, m.Value
+		a.Promised, a.AcceptedBallot, a.AcceptedValue = m.Ballot, m.Ballot, m.Value
 	}
 	say.OK, say.Promised = true, a.Promised
 	return say, changed
@@ -69,6 +69,6 @@
 		return false
 	}
 	a.State = s
-	a.Promised, a.Accepted, a.Value = Ballot{}, Ballot{}, nil
+	a.Promised, a.AcceptedBallot, a.AcceptedValue = Ballot{}, Ballot{}, nil
 	return true
 }
--- a/internal/consensus/keeper.go
+++ b/internal/consensus/keeper.go
@@ -2,10 +2,10 @@
 
 // BallotState is the acceptor's part that changes with every round, as it goes to disk.
 type BallotState struct {
-	Slot     int64  `json:"Slot"`
-	Promised Ballot `json:"Promised"`
-	Accepted Ballot `json:"Accepted"`
-	Value    *Value `json:"Value,omitempty"`
+	Slot           int64  `json:"Slot"`
+	Promised       Ballot `json:"Promised"`
+	AcceptedBallot Ballot `json:"Accepted"`
+	AcceptedValue  *Value `json:"Value,omitempty"`
 }
 
 // DurableAcceptor is an acceptor with its disk. Its memory may be ahead of the disk,
@@ -24,7 +24,7 @@
 func (k *DurableAcceptor) Restore(s State, b BallotState) {
 	k.State, k.durableSlot = s, s.Slot
 	if b.Slot == s.Slot+1 {
-		k.Promised, k.Accepted, k.Value = b.Promised, b.Accepted, b.Value
+		k.Promised, k.AcceptedBallot, k.AcceptedValue = b.Promised, b.AcceptedBallot, b.AcceptedValue
 	}
 }
 
@@ -44,7 +44,7 @@
 
 // BallotState is what is to be on disk, and its mark.
 func (k *DurableAcceptor) BallotState() (BallotState, int64) {
-	return BallotState{k.State.Slot + 1, k.Promised, k.Accepted, k.Value}, k.writeSeq
+	return BallotState{k.State.Slot + 1, k.Promised, k.AcceptedBallot, k.AcceptedValue}, k.writeSeq
 }
 
 // IsDurable tells whether a mark is on disk.
--- a/internal/consensus/keeper_test.go
+++ b/internal/consensus/keeper_test.go
@@ -15,17 +15,17 @@
 			p.OnResponse(st, say)
 		}
 	}
-	first := NewProposer(base, Ballot{N: 1, By: "a", Life: 1}, v1)
+	first := NewProposer(base, Ballot{Round: 1, ProposerID: "a", Incarnation: 1}, v1)
 	hear(first, "b", "c")
 	hear(first, "b") // b alone accepts, a is killed
-	second := NewProposer(base, Ballot{N: 1, By: "a", Life: 2}, v2)
+	second := NewProposer(base, Ballot{Round: 1, ProposerID: "a", Incarnation: 2}, v2)
 	hear(second, "a", "c")
 	hear(second, "a", "c")
 	if second.Stage != StageChosen || !second.Value.Equal(*v2) {
 		t.Fatalf("the second life chose nothing: %d", second.Stage)
 	}
 	// b is told of what was chosen by its ballot.
-	if b := w.accs["b"]; b.Accepted == second.Ballot {
+	if b := w.accs["b"]; b.AcceptedBallot == second.Ballot {
 		t.Fatal("what b accepted from the first life stands under the second one's ballot")
 	}
 }
@@ -35,7 +35,7 @@
 func TestNothingRestsOnAnUnsyncedPromise(t *testing.T) {
 	k := &DurableAcceptor{Acceptor: Acceptor{ID: GenesisID("1")}}
 	k.Restore(Genesis([]string{"1", "2", "3"}), BallotState{})
-	ask := Request{Slot: 1, Ballot: Ballot{N: 3, By: "b"}}
+	ask := Request{Slot: 1, Ballot: Ballot{Round: 3, ProposerID: "b"}}
 	say, first := k.Handle(ask)
 	if !say.OK || k.IsDurable(first) {
 		t.Fatal("a promise counts as kept before it is")
@@ -43,7 +43,7 @@
 	if say, needs := k.Handle(ask); !say.OK || k.IsDurable(needs) {
 		t.Fatal("a promise asked for again is answered before it is on disk")
 	}
-	if say, needs := k.Handle(Request{Slot: 1, Ballot: Ballot{N: 1, By: "c"}}); say.OK || k.IsDurable(needs) {
+	if say, needs := k.Handle(Request{Slot: 1, Ballot: Ballot{Round: 1, ProposerID: "c"}}); say.OK || k.IsDurable(needs) {
 		t.Fatal("a refusal tells of a promise that is not on disk")
 	}
 	rec, mark := k.BallotState()
@@ -61,7 +61,7 @@
 	}
 	// Decided state is a fact; the next slot's promises rest on new writes.
 	k.Learn(k.State.Apply(v))
-	if say, needs := k.Handle(ask); say.Ahead == nil || !k.IsDurable(needs) {
+	if say, needs := k.Handle(ask); say.NewerState == nil || !k.IsDurable(needs) {
 		t.Fatal("what was decided is not told")
 	}
 	if say, needs := k.Handle(Request{Slot: 2, Ballot: ask.Ballot}); !say.OK || k.IsDurable(needs) {
--- a/internal/consensus/model_checks_test.go
+++ b/internal/consensus/model_checks_test.go
@@ -34,11 +34,11 @@
 	m.decided, m.values = append(m.decided, s), append(m.values, v)
 	bases := map[int64]bool{}
 	calls := map[AppliedChange]bool{}
-	for _, t := range s.Taken {
-		if bases[t.Base] {
-			m.broken("two changes on base %d are in force: %s", t.Base, stateText(s))
+	for _, t := range s.AppliedChanges {
+		if bases[t.BaseVersion] {
+			m.broken("two changes on base %d are in force: %s", t.BaseVersion, stateText(s))
 		}
-		bases[t.Base] = true
+		bases[t.BaseVersion] = true
 		if t.Slot = 0; calls[t] {
 			m.broken("a change is in force twice: %s", stateText(s))
 		}
@@ -55,7 +55,7 @@
 	want := m.decided[s.Slot]
 	if m.fault == faultForgets || m.fault == faultShort {
 		// Only resends are to show it.
-		s.Taken, s.TakenSeq, want.Taken, want.TakenSeq = nil, 0, nil, 0
+		s.AppliedChanges, s.AppliedCount, want.AppliedChanges, want.AppliedCount = nil, 0, nil, 0
 	}
 	if stateText(s) != stateText(want) {
 		m.broken("%s learned %s, decided was %s", machineName(i), stateText(s), stateText(want))
@@ -75,7 +75,7 @@
 		}
 		m.floor = max(m.floor, o.got)
 	case o.kind == "put" && code == 200:
-		if !top.HasApplied(o.v.Version, o.v.Base, o.v.Sent) {
+		if !top.HasApplied(o.v.Version, o.v.BaseVersion, o.v.RequestFingerprint) {
 			m.broken("call %d was acknowledged, but is not in force: %s", op, valueText(o.v))
 		}
 		if !m.wasAcked(o.v) {
@@ -242,7 +242,7 @@
 		code := 0
 		for try := 0; try < 4 && code != 200; try++ {
 			base, body := m.decided[len(m.decided)-1].Version, fmt.Sprintf("last-%s%d", machineName(i), try)
-			code = call(&modelOp{kind: "put", node: i, v: Value{Version: base + 1, Base: base, Body: body, Sent: Fingerprint(body)}}).code
+			code = call(&modelOp{kind: "put", node: i, v: Value{Version: base + 1, BaseVersion: base, Body: body, RequestFingerprint: Fingerprint(body)}}).code
 		}
 		if code != 200 {
 			m.broken("all are up, but a change at %s is answered %d", machineName(i), code)
@@ -298,7 +298,7 @@
 		if o == nil || o.kind == "admit" || o.kind == "get" && !o.over {
 			continue
 		}
-		p := porcupine.Operation{ClientId: i, Call: o.call, Return: o.ret, Input: registerCall{o.kind == "get", o.v.Version, o.v.Base, o.v.Sent}, Output: registerSay{o.code, o.got}}
+		p := porcupine.Operation{ClientId: i, Call: o.call, Return: o.ret, Input: registerCall{o.kind == "get", o.v.Version, o.v.BaseVersion, o.v.RequestFingerprint}, Output: registerSay{o.code, o.got}}
 		if !o.over {
 			p.Return, p.Output = math.MaxInt64, registerSay{}
 		}
@@ -315,14 +315,14 @@
 		}
 		return "voters " + strings.Join(ids, ",")
 	}
-	return fmt.Sprintf("%d/%d/%s", v.Version, v.Base, v.Body)
+	return fmt.Sprintf("%d/%d/%s", v.Version, v.BaseVersion, v.Body)
 }
 
 func stateText(s State) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "slot %d %s since %d version %d %s taken %d:", s.Slot, valueText(Value{Voters: s.Voters}), s.VotersSlot, s.Version, s.Body, s.TakenSeq)
-	for _, t := range s.Taken {
-		fmt.Fprintf(&b, " %d/%d@%d", t.Version, t.Base, t.Slot)
+	fmt.Fprintf(&b, "slot %d %s since %d version %d %s taken %d:", s.Slot, valueText(Value{Voters: s.Voters}), s.VotersSlot, s.Version, s.Body, s.AppliedCount)
+	for _, t := range s.AppliedChanges {
+		fmt.Fprintf(&b, " %d/%d@%d", t.Version, t.BaseVersion, t.Slot)
 	}
 	return b.String()
 }
@@ -348,14 +348,14 @@
 
 func (f *fingerprint) text(s string) { f.b = append(append(f.b, s...), 0) }
 
-func (f *fingerprint) ballot(b Ballot) { f.num(b.N, b.Life); f.text(b.By) }
+func (f *fingerprint) ballot(b Ballot) { f.num(b.Round, b.Incarnation); f.text(b.ProposerID) }
 
 func (f *fingerprint) value(v *Value) {
 	f.yes(v != nil)
 	if v == nil {
 		return
 	}
-	f.num(v.Version, v.Base, int64(len(v.Voters)))
+	f.num(v.Version, v.BaseVersion, int64(len(v.Voters)))
 	f.text(v.Body)
 	for _, x := range v.Voters {
 		f.text(x.ID)
@@ -363,18 +363,18 @@
 }
 
 func (f *fingerprint) state(s State) {
-	f.num(s.Slot, s.Version, int64(len(s.Taken)), int64(len(s.Voters)))
+	f.num(s.Slot, s.Version, int64(len(s.AppliedChanges)), int64(len(s.Voters)))
 }
 
 func (f *fingerprint) say(s modelSay) {
-	f.num(int64(s.op), int64(s.round), int64(s.stage), s.say.Slot)
-	f.text(s.say.ID)
+	f.num(int64(s.op), int64(s.round), int64(s.stage), s.say.DecidedSlot)
+	f.text(s.say.AcceptorID)
 	f.yes(s.say.OK)
 	f.ballot(s.say.Promised)
-	f.ballot(s.say.Accepted)
-	f.value(s.say.Value)
+	f.ballot(s.say.AcceptedBallot)
+	f.value(s.say.AcceptedValue)
 	if s.news != nil {
-		f.num(s.news.From, s.news.Slot)
+		f.num(s.news.FromSlot, s.news.Slot)
 	}
 }
 
@@ -393,12 +393,12 @@
 		f.text(n.disk.id)
 		f.state(n.disk.state)
 		f.ballot(n.disk.ballots.Promised)
-		f.ballot(n.disk.ballots.Accepted)
-		f.value(n.disk.ballots.Value)
+		f.ballot(n.disk.ballots.AcceptedBallot)
+		f.value(n.disk.ballots.AcceptedValue)
 		f.state(n.k.State)
 		f.ballot(n.k.Promised)
-		f.ballot(n.k.Accepted)
-		f.value(n.k.Value)
+		f.ballot(n.k.AcceptedBallot)
+		f.value(n.k.AcceptedValue)
 		f.num(n.k.writeSeq-n.k.durableSeq, int64(len(n.queue)))
 		for _, w := range n.queue {
 			if w.state != nil {
@@ -407,8 +407,8 @@
 			}
 			f.num(-2, w.mark-n.k.durableSeq, w.ballots.Slot, int64(len(w.says)))
 			f.ballot(w.ballots.Promised)
-			f.ballot(w.ballots.Accepted)
-			f.value(w.ballots.Value)
+			f.ballot(w.ballots.AcceptedBallot)
+			f.value(w.ballots.AcceptedValue)
 			for _, s := range w.says {
 				f.say(s)
 			}
--- a/internal/consensus/model_explore_test.go
+++ b/internal/consensus/model_explore_test.go
@@ -176,7 +176,7 @@
 	case 2:
 		if o := m.ops[max(0, r.IntN(len(m.ops)+1)-1):]; len(o) > 0 && o[0] != nil && o[0].kind == "put" {
 			v := o[0].v
-			s.do, s.v, s.base, s.body = "put", v.Version, v.Base, v.Body
+			s.do, s.v, s.base, s.body = "put", v.Version, v.BaseVersion, v.Body
 			return s, true
 		}
 	}
--- a/internal/consensus/model_steps_test.go
+++ b/internal/consensus/model_steps_test.go
@@ -148,7 +148,7 @@
 		o = &modelOp{kind: s.do, node: at, call: m.clock, floor: m.floor}
 		switch s.do {
 		case "put":
-			o.v = Value{Version: s.v, Base: s.base, Body: s.body, Sent: Fingerprint(s.body)}
+			o.v = Value{Version: s.v, BaseVersion: s.base, Body: s.body, RequestFingerprint: Fingerprint(s.body)}
 		case "admit":
 			if !n.up || n.asked == NoSlot || n.k.DurableSlot() < n.asked || by.k.State.IsVoter(n.k.ID) {
 				return false
@@ -214,8 +214,8 @@
 		if r == nil || r.told == nil || !n.up {
 			return false
 		}
-		if k := &n.k; r.told.slot == k.State.Slot+1 && k.Value != nil && (k.Accepted == r.told.ballot || m.fault == faultLearn) {
-			m.learn(s.at, k.State.Apply(*k.Value))
+		if k := &n.k; r.told.slot == k.State.Slot+1 && k.AcceptedValue != nil && (k.AcceptedBallot == r.told.ballot || m.fault == faultLearn) {
+			m.learn(s.at, k.State.Apply(*k.AcceptedValue))
 		}
 	case "teach", "catch":
 		if !n.up || !by.up || s.at == s.by || len(by.k.State.Voters) == 0 {
@@ -348,7 +348,7 @@
 			}
 			if r.told != nil {
 				for at := range m.machines {
-					if k := &m.nodes[at].k; m.nodes[at].up && k.State.Slot+1 == r.told.slot && k.Value != nil {
+					if k := &m.nodes[at].k; m.nodes[at].up && k.State.Slot+1 == r.told.slot && k.AcceptedValue != nil {
 						add(modelStep{do: "tell", op: i, round: j, at: at})
 					}
 				}
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -178,10 +178,10 @@
 	n.k = DurableAcceptor{Acceptor: Acceptor{ID: n.disk.id}}
 	s := n.disk.state
 	if m.fault == faultForgets {
-		s.Taken = nil
+		s.AppliedChanges = nil
 	}
 	n.k.Restore(s, n.disk.ballots)
-	n.highest = n.k.Promised.N
+	n.highest = n.k.Promised.Round
 }
 
 func (m *model) end(i int) {
@@ -202,7 +202,7 @@
 func (m *model) learn(i int, s State) {
 	n := &m.nodes[i]
 	if m.fault == faultShort {
-		s.Taken = s.Taken[max(0, len(s.Taken)-1):]
+		s.AppliedChanges = s.AppliedChanges[max(0, len(s.AppliedChanges)-1):]
 	}
 	if n.k.Learn(s) {
 		m.checkState(i, s)
@@ -222,8 +222,8 @@
 		return
 	}
 	s, ok := k.State.ApplyDelta(n)
-	if !ok && m.fault == faultNews && len(k.State.Voters) > 0 && n.From > k.State.Slot {
-		n.From = k.State.Slot
+	if !ok && m.fault == faultNews && len(k.State.Voters) > 0 && n.FromSlot > k.State.Slot {
+		n.FromSlot = k.State.Slot
 		s, ok = k.State.ApplyDelta(n)
 	}
 	if !ok {
@@ -242,11 +242,11 @@
 	n, r := &m.nodes[i], m.ops[op].rounds[round]
 	ask := *r.ask[stage]
 	say, needs := n.k.Handle(ask)
-	n.highest = max(n.highest, ask.Ballot.N, n.k.Promised.N)
+	n.highest = max(n.highest, ask.Ballot.Round, n.k.Promised.Round)
 	out := modelSay{op: op, round: round, stage: stage, from: i, say: say}
-	if say.Ahead != nil {
+	if say.NewerState != nil {
 		news := n.k.State.DeltaSince(ask.Slot - 1)
-		out.say.Ahead, out.news = nil, &news
+		out.say.NewerState, out.news = nil, &news
 	}
 	if n.k.IsDurable(needs) {
 		m.leave(out)
@@ -313,17 +313,17 @@
 	}
 	if s.news != nil {
 		if st, ok := r.base.ApplyDelta(*s.news); ok {
-			s.say.Ahead = &st
+			s.say.NewerState = &st
 		}
 	}
 	switch m.fault {
 	case faultLow:
 		p.adoptedBallot = Ballot{}
 	case faultRefused:
-		if !p.Base.IsVoter(s.say.ID) {
+		if !p.Base.IsVoter(s.say.AcceptorID) {
 			for _, v := range p.Base.Voters {
 				if machineOf(v) == s.from {
-					s.say.ID = v.ID
+					s.say.AcceptorID = v.ID
 				}
 			}
 			s.say.OK = true
@@ -348,9 +348,9 @@
 		return
 	}
 	n.highest++
-	b := Ballot{N: n.highest, By: n.k.ID, Life: n.life}
+	b := Ballot{Round: n.highest, ProposerID: n.k.ID, Incarnation: n.life}
 	if m.fault == faultLives {
-		b.Life = 0
+		b.Incarnation = 0
 	}
 	r := &modelRound{prop: NewProposer(base, b, own), node: o.node, base: base}
 	ask := r.prop.Request()
@@ -374,7 +374,7 @@
 	case StageBehind:
 		m.learn(r.node, *p.NewerState)
 	default:
-		n.highest = max(n.highest, p.HighestPromised.N)
+		n.highest = max(n.highest, p.HighestPromised.Round)
 	}
 	m.after(op, p.Stage == StageChosen || p.Stage == StageBehind)
 }
@@ -414,15 +414,15 @@
 	default:
 		v := o.v
 		switch {
-		case s.HasApplied(v.Version, v.Base, v.Sent):
+		case s.HasApplied(v.Version, v.BaseVersion, v.RequestFingerprint):
 			m.answer(op, 200)
-		case v.Base < s.Version && m.fault != faultBaseless:
+		case v.BaseVersion < s.Version && m.fault != faultBaseless:
 			m.answer(op, 412)
-		case v.Base > s.Version:
+		case v.BaseVersion > s.Version:
 			o.read = &modelRead{s: s}
 		default:
 			if m.fault == faultBaseless {
-				v.Base = s.Version
+				v.BaseVersion = s.Version
 			}
 			m.begin(op, s, &v)
 		}
@@ -445,7 +445,7 @@
 		return
 	}
 	rd.known++
-	rd.begun = rd.begun || k.Value != nil && k.State.Slot == rd.s.Slot
+	rd.begun = rd.begun || k.AcceptedValue != nil && k.State.Slot == rd.s.Slot
 	rd.ahead = rd.ahead || k.State.Slot > rd.s.Slot
 	if m.fault == faultReadBegun {
 		rd.begun = false
@@ -465,7 +465,7 @@
 		m.answer(op, 200)
 		return
 	}
-	if s.Version < o.v.Base {
+	if s.Version < o.v.BaseVersion {
 		m.answer(op, 412)
 		return
 	}
--- a/internal/consensus/news.go
+++ b/internal/consensus/news.go
@@ -7,22 +7,22 @@
 // however many slots lie between, and it may be applied to any state from
 // From on.
 type StateDelta struct {
-	From int64 `json:"From"`
-	Slot int64 `json:"Slot"`
+	FromSlot int64 `json:"From"`
+	Slot     int64 `json:"Slot"`
 	// Voters are set where they changed after From.
 	Voters     []Voter `json:"Voters,omitempty"`
 	VotersSlot int64   `json:"VotersSlot,omitempty"`
 	// Version and Body are set where they changed after From.
-	Version  int64           `json:"Version,omitempty"`
-	Body     string          `json:"Body,omitempty"`
-	TakenSeq int64           `json:"TakenSeq,omitempty"`
-	Taken    []AppliedChange `json:"Taken,omitempty"`
-	PurgeSeq int64           `json:"PurgeSeq,omitempty"`
-	Purges   []Purge         `json:"Purges,omitempty"`
-	// Larders are few and always whole.
-	Larders  []CacheNode `json:"Larders,omitempty"`
-	Rollouts []Rollout   `json:"Rollouts,omitempty"`
-	Ordered  []PastOrder `json:"Ordered,omitempty"`
+	Version        int64           `json:"Version,omitempty"`
+	Body           string          `json:"Body,omitempty"`
+	AppliedCount   int64           `json:"TakenSeq,omitempty"`
+	AppliedChanges []AppliedChange `json:"Taken,omitempty"`
+	PurgeSeq       int64           `json:"PurgeSeq,omitempty"`
+	Purges         []Purge         `json:"Purges,omitempty"`
+	// CacheNodes are few and always whole.
+	CacheNodes []CacheNode `json:"Larders,omitempty"`
+	Rollouts   []Rollout   `json:"Rollouts,omitempty"`
+	PastOrders []PastOrder `json:"Ordered,omitempty"`
 }
 
 // NoSlot is the slot of a node that knows of no state at all.
@@ -44,20 +44,20 @@
 
 // VersionAt is the version that was in force after a slot, as far as remembered; else 0.
 func (s State) VersionAt(slot int64) int64 {
-	if before := len(s.Taken) - len(itemsAfter(s.Taken, slot, appliedChangeSlot)); before > 0 {
-		return s.Taken[before-1].Version
+	if before := len(s.AppliedChanges) - len(itemsAfter(s.AppliedChanges, slot, appliedChangeSlot)); before > 0 {
+		return s.AppliedChanges[before-1].Version
 	}
 	return 0
 }
 
 // DeltaSince gives what a node at slot from lacks.
 func (s State) DeltaSince(from int64) StateDelta {
-	n := StateDelta{From: from, Slot: s.Slot, TakenSeq: s.TakenSeq, PurgeSeq: s.PurgeSeq, Larders: s.Larders, Rollouts: s.RolloutsAfter(from)}
+	n := StateDelta{FromSlot: from, Slot: s.Slot, AppliedCount: s.AppliedCount, PurgeSeq: s.PurgeSeq, CacheNodes: s.CacheNodes, Rollouts: s.RolloutsAfter(from)}
 	if from == NoSlot || s.VotersSlot > from {
 		n.Voters, n.VotersSlot = s.Voters, s.VotersSlot
 	}
-	n.Taken, n.Purges, n.Ordered = itemsAfter(s.Taken, from, appliedChangeSlot), itemsAfter(s.Purges, from, purgeSlot), itemsAfter(s.Ordered, from, pastOrderSlot)
-	if len(n.Taken) > 0 || from == NoSlot {
+	n.AppliedChanges, n.Purges, n.PastOrders = itemsAfter(s.AppliedChanges, from, appliedChangeSlot), itemsAfter(s.Purges, from, purgeSlot), itemsAfter(s.PastOrders, from, pastOrderSlot)
+	if len(n.AppliedChanges) > 0 || from == NoSlot {
 		n.Version, n.Body = s.Version, s.Body
 	}
 	return n
@@ -65,25 +65,25 @@
 
 // ApplyDelta gives the later state; ok is false where the news don't fit.
 func (s State) ApplyDelta(n StateDelta) (State, bool) {
-	if n.From == NoSlot {
+	if n.FromSlot == NoSlot {
 		return State{
-			Slot: n.Slot, Voters: n.Voters, VotersSlot: n.VotersSlot, Version: n.Version, Body: n.Body, TakenSeq: n.TakenSeq, Taken: n.Taken,
-			PurgeSeq: n.PurgeSeq, Purges: n.Purges, Larders: n.Larders, Rollouts: n.Rollouts, Ordered: n.Ordered,
+			Slot: n.Slot, Voters: n.Voters, VotersSlot: n.VotersSlot, Version: n.Version, Body: n.Body, AppliedCount: n.AppliedCount, AppliedChanges: n.AppliedChanges,
+			PurgeSeq: n.PurgeSeq, Purges: n.Purges, CacheNodes: n.CacheNodes, Rollouts: n.Rollouts, PastOrders: n.PastOrders,
 		}, true
 	}
-	if len(s.Voters) == 0 || n.From > s.Slot || n.Slot <= s.Slot {
+	if len(s.Voters) == 0 || n.FromSlot > s.Slot || n.Slot <= s.Slot {
 		return s, false
 	}
 	was := s.Slot
-	s.Slot, s.Larders = n.Slot, n.Larders
+	s.Slot, s.CacheNodes = n.Slot, n.CacheNodes
 	if n.VotersSlot > was {
 		s.Voters, s.VotersSlot = n.Voters, n.VotersSlot
 	}
-	if more := itemsAfter(n.Taken, was, appliedChangeSlot); len(more) > 0 {
+	if more := itemsAfter(n.AppliedChanges, was, appliedChangeSlot); len(more) > 0 {
 		s.Version, s.Body = n.Version, n.Body
 		s.rememberChanges(more...)
 	}
-	s.TakenSeq = n.TakenSeq
+	s.AppliedCount = n.AppliedCount
 	if more := itemsAfter(n.Purges, was, purgeSlot); len(more) > 0 {
 		all := slices.Concat(s.Purges, more)
 		s.Purges = all[max(0, len(all)-maxPurges):]
@@ -92,8 +92,8 @@
 	for _, r := range n.Rollouts {
 		s.storeRollout(r)
 	}
-	for _, o := range itemsAfter(n.Ordered, was, pastOrderSlot) {
-		s.rememberOrder(Rollout{N: o.Slot, Service: o.Service, Target: o.Target, DurationMs: o.DurationMs})
+	for _, o := range itemsAfter(n.PastOrders, was, pastOrderSlot) {
+		s.rememberOrder(Rollout{OrderSlot: o.Slot, Service: o.Service, TargetVersion: o.TargetVersion, DurationMs: o.DurationMs})
 	}
 	return s, true
 }
--- a/internal/consensus/news_test.go
+++ b/internal/consensus/news_test.go
@@ -22,14 +22,14 @@
 			case 1:
 				v.Purges = []Purge{{ID: fmt.Sprint(i)}, {ID: fmt.Sprint("b", i)}}
 			case 2:
-				v.Larders = []CacheNode{{Name: fmt.Sprint(i)}}
+				v.CacheNodes = []CacheNode{{Name: fmt.Sprint(i)}}
 			case 3:
-				v.Rollout = &Rollout{Service: fmt.Sprint("s", r.IntN(4)), Target: fmt.Sprint("t", i), DurationMs: 5}
+				v.Rollout = &Rollout{Service: fmt.Sprint("s", r.IntN(4)), TargetVersion: fmt.Sprint("t", i), DurationMs: 5}
 				if old, ok := s.Rollout(v.Rollout.Service); ok && old.Running() {
-					v.Rollout = &Rollout{N: old.N, Service: old.Service, Phase: PhaseRolledBack}
+					v.Rollout = &Rollout{OrderSlot: old.OrderSlot, Service: old.Service, Phase: PhaseRolledBack}
 				}
 			default:
-				v.Version, v.Base, v.Body = s.Version+1+int64(r.IntN(3)), s.Version-int64(r.IntN(5)/4), fmt.Sprint("body", i)
+				v.Version, v.BaseVersion, v.Body = s.Version+1+int64(r.IntN(3)), s.Version-int64(r.IntN(5)/4), fmt.Sprint("body", i)
 			}
 			states = append(states, s.Apply(v))
 		}
@@ -59,7 +59,7 @@
 	s := Genesis([]string{"1.1.1.1"})
 	var mid State
 	for v := int64(1); v < 2*MaxAppliedChanges; v++ {
-		s = s.Apply(Value{Version: v, Base: v - 1, Body: fmt.Sprint(v)})
+		s = s.Apply(Value{Version: v, BaseVersion: v - 1, Body: fmt.Sprint(v)})
 		if v == 10 || v == MaxAppliedChanges+10 {
 			mid = s
 			if got, _ := mid.ApplyDelta(s.DeltaSince(NoSlot)); !reflect.DeepEqual(got, s) {
@@ -67,8 +67,8 @@
 			}
 		}
 	}
-	if n := s.DeltaSince(10); len(n.Taken) != MaxAppliedChanges {
-		t.Fatalf("%d are told", len(n.Taken))
+	if n := s.DeltaSince(10); len(n.AppliedChanges) != MaxAppliedChanges {
+		t.Fatalf("%d are told", len(n.AppliedChanges))
 	}
 	if got, ok := mid.ApplyDelta(s.DeltaSince(mid.Slot)); !ok || !reflect.DeepEqual(got, s) {
 		t.Fatal("a node thousands of slots behind does not get the state")
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -65,14 +65,14 @@
 	if st != p.Stage || p.Stage > StageAccepting {
 		return false
 	}
-	if s.Ahead != nil && s.Ahead.Slot > p.Base.Slot {
-		p.NewerState, p.Stage = s.Ahead, StageBehind
+	if s.NewerState != nil && s.NewerState.Slot > p.Base.Slot {
+		p.NewerState, p.Stage = s.NewerState, StageBehind
 		return true
 	}
-	if !p.Base.IsVoter(s.ID) || p.responded[s.ID] {
+	if !p.Base.IsVoter(s.AcceptorID) || p.responded[s.AcceptorID] {
 		return false
 	}
-	p.responded[s.ID] = true
+	p.responded[s.AcceptorID] = true
 	if !s.OK {
 		if p.HighestPromised.Less(s.Promised) {
 			p.HighestPromised = s.Promised
@@ -81,8 +81,8 @@
 		p.OnFailure()
 		return p.Stage != was
 	}
-	if st == StagePreparing && s.Value != nil && (p.adoptedValue == nil || p.adoptedBallot.Less(s.Accepted)) {
-		p.adoptedBallot, p.adoptedValue = s.Accepted, s.Value
+	if st == StagePreparing && s.AcceptedValue != nil && (p.adoptedValue == nil || p.adoptedBallot.Less(s.AcceptedBallot)) {
+		p.adoptedBallot, p.adoptedValue = s.AcceptedBallot, s.AcceptedValue
 	}
 	if p.granted++; p.granted < p.quorum() {
 		return false
--- a/internal/consensus/rollout.go
+++ b/internal/consensus/rollout.go
@@ -21,25 +21,25 @@
 // Rollout is the last order to move a service to another version of its
 // searchers, and how far it is.
 type Rollout struct {
-	// N names the order: the slot that decided it. It is 0 in a proposal of an order.
-	N       int64  `json:"N,omitempty"`
-	Service string `json:"Service"`
-	// From is the version in force when the order came, Target the one ordered.
-	From       string `json:"From,omitempty"`
-	Target     string `json:"Target"`
-	DurationMs int64  `json:"DurationMs"`
-	Phase      Phase  `json:"Phase"`
+	// OrderSlot names the order: the slot that decided it. It is 0 in a proposal of an order.
+	OrderSlot int64  `json:"N,omitempty"`
+	Service   string `json:"Service"`
+	// FromVersion is the version in force when the order came, Target the one ordered.
+	FromVersion   string `json:"From,omitempty"`
+	TargetVersion string `json:"Target"`
+	DurationMs    int64  `json:"DurationMs"`
+	Phase         Phase  `json:"Phase"`
 	// Slot decided the phase; SpentMs of the term were over by then.
-	Slot    int64 `json:"Slot,omitempty"`
-	SpentMs int64 `json:"SpentMs,omitempty"`
-	// ForMs is how long a trial lasts on each node.
-	ForMs int64 `json:"ForMs,omitempty"`
-	// Asked is how many tries of the new version were seen by then, Of how
+	Slot      int64 `json:"Slot,omitempty"`
+	ElapsedMs int64 `json:"SpentMs,omitempty"`
+	// TrialMs is how long a trial lasts on each node.
+	TrialMs int64 `json:"ForMs,omitempty"`
+	// TargetAttempts is how many tries of the new version were seen by then, Of how
 	// many of both versions.
-	Asked int64 `json:"Asked,omitempty"`
-	Of    int64 `json:"Of,omitempty"`
-	// Why tells what led to the phase.
-	Why string `json:"Why,omitempty"`
+	TargetAttempts int64 `json:"Asked,omitempty"`
+	TotalAttempts  int64 `json:"Of,omitempty"`
+	// Reason tells what led to the phase.
+	Reason string `json:"Why,omitempty"`
 }
 
 // Running tells whether the order is not settled.
@@ -55,15 +55,15 @@
 
 // SameOrder tells whether r is the same order as o, as far as can be told.
 func (r Rollout) SameOrder(o Rollout) bool {
-	return r.Service == o.Service && r.Target == o.Target && r.DurationMs == o.DurationMs
+	return r.Service == o.Service && r.TargetVersion == o.TargetVersion && r.DurationMs == o.DurationMs
 }
 
 // ActiveVersion is the version that a service's requests belong to when no order for it runs.
 func (r Rollout) ActiveVersion() string {
 	if r.Phase == PhaseCompleted {
-		return r.Target
+		return r.TargetVersion
 	}
-	return r.From
+	return r.FromVersion
 }
 
 // maxRollouts bounds how many services' last orders are remembered.
@@ -72,9 +72,9 @@
 // PastOrder remembers an order that was decided, to know a copy of it that was
 // long on its way.
 type PastOrder struct {
-	Service    string `json:"Service"`
-	Target     string `json:"Target"`
-	DurationMs int64  `json:"DurationMs"`
+	Service       string `json:"Service"`
+	TargetVersion string `json:"Target"`
+	DurationMs    int64  `json:"DurationMs"`
 	// Slot decided it.
 	Slot int64 `json:"Slot"`
 }
@@ -90,9 +90,9 @@
 // of its service.
 func (s State) EarlierOrder(o Rollout) (slot int64, ok bool) {
 	last, _ := s.Rollout(o.Service)
-	for i := len(s.Ordered) - 1; i >= 0; i-- {
-		x := s.Ordered[i]
-		if x.Slot != last.N && x.Service == o.Service && x.Target == o.Target && x.DurationMs == o.DurationMs {
+	for i := len(s.PastOrders) - 1; i >= 0; i-- {
+		x := s.PastOrders[i]
+		if x.Slot != last.OrderSlot && x.Service == o.Service && x.TargetVersion == o.TargetVersion && x.DurationMs == o.DurationMs {
 			return x.Slot, true
 		}
 	}
@@ -101,22 +101,22 @@
 
 // rememberOrder notes a decided order; the oldest are forgotten first.
 func (s *State) rememberOrder(o Rollout) {
-	list := make([]PastOrder, 0, len(s.Ordered)+1)
+	list := make([]PastOrder, 0, len(s.PastOrders)+1)
 	same := 0
-	for _, x := range s.Ordered {
+	for _, x := range s.PastOrders {
 		if x.Service == o.Service {
 			same++
 		}
 	}
-	for _, x := range s.Ordered {
+	for _, x := range s.PastOrders {
 		if x.Service == o.Service && same >= maxPastOrdersPerService {
 			same--
 			continue
 		}
 		list = append(list, x)
 	}
-	list = append(list, PastOrder{o.Service, o.Target, o.DurationMs, o.N})
-	s.Ordered = list[max(0, len(list)-maxPastOrders):]
+	list = append(list, PastOrder{o.Service, o.TargetVersion, o.DurationMs, o.OrderSlot})
+	s.PastOrders = list[max(0, len(list)-maxPastOrders):]
 }
 
 // Rollout finds the last order for a service.
@@ -145,16 +145,16 @@
 func (s *State) applyRollout(v Rollout) {
 	old, known := s.Rollout(v.Service)
 	switch {
-	case v.N == 0 && (!known || !old.Running() && !old.SameOrder(v)):
-		v.N, v.Phase = s.Slot, PhaseCanary
-		if v.From == v.Target {
+	case v.OrderSlot == 0 && (!known || !old.Running() && !old.SameOrder(v)):
+		v.OrderSlot, v.Phase = s.Slot, PhaseCanary
+		if v.FromVersion == v.TargetVersion {
 			v.Phase = PhaseCompleted
 		}
 		old = v
 		s.rememberOrder(v)
-	case v.N != 0 && known && old.N == v.N && old.Running() && phaseOrder[v.Phase] > phaseOrder[old.Phase]:
-		old.Phase, old.SpentMs, old.ForMs, old.Why = v.Phase, max(old.SpentMs, v.SpentMs), v.ForMs, v.Why
-		old.Asked, old.Of = max(old.Asked, v.Asked), max(old.Of, v.Of)
+	case v.OrderSlot != 0 && known && old.OrderSlot == v.OrderSlot && old.Running() && phaseOrder[v.Phase] > phaseOrder[old.Phase]:
+		old.Phase, old.ElapsedMs, old.TrialMs, old.Reason = v.Phase, max(old.ElapsedMs, v.ElapsedMs), v.TrialMs, v.Reason
+		old.TargetAttempts, old.TotalAttempts = max(old.TargetAttempts, v.TargetAttempts), max(old.TotalAttempts, v.TotalAttempts)
 	default:
 		return
 	}
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -13,14 +13,14 @@
 // first use, tells its lives apart. So whoever accepted a value under a ballot
 // knows what was chosen under it.
 type Ballot struct {
-	N    int64  `json:"N"`
-	By   string `json:"By"`
-	Life int64  `json:"Life,omitempty"`
+	Round       int64  `json:"N"`
+	ProposerID  string `json:"By"`
+	Incarnation int64  `json:"Life,omitempty"`
 }
 
 // Less tells whether b is below o.
 func (b Ballot) Less(o Ballot) bool {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.By, o.By), cmp.Compare(b.Life, o.Life)) < 0
+	return cmp.Or(cmp.Compare(b.Round, o.Round), cmp.Compare(b.ProposerID, o.ProposerID), cmp.Compare(b.Incarnation, o.Incarnation)) < 0
 }
 
 // String shows a ballot to operators; none is empty.
@@ -28,7 +28,7 @@
 	if b == (Ballot{}) {
 		return ""
 	}
-	return fmt.Sprintf("%d of %s, life %d", b.N, b.By, b.Life)
+	return fmt.Sprintf("%d of %s, life %d", b.Round, b.ProposerID, b.Incarnation)
 }
 
 // Voter is a node that votes, under the identity its disk was given.
@@ -40,8 +40,8 @@
 // Purge names copies that may not be served any more: one object by host and
 // path, or all that carry a tag.
 type Purge struct {
-	// N numbers the purges; it is given when the slot is decided.
-	N int64 `json:"N,omitempty"`
+	// Seq numbers the purges; it is given when the slot is decided.
+	Seq int64 `json:"N,omitempty"`
 	// Slot decided it.
 	Slot int64 `json:"Slot,omitempty"`
 	// ID is drawn by whoever took the operator's call, to know it again.
@@ -61,16 +61,16 @@
 // Value is what a slot decides: a configuration on top of Base, a set of
 // voters, some purges, the set of larders, or a step of a rollout.
 type Value struct {
-	Version int64  `json:"Version,omitempty"`
-	Base    int64  `json:"Base,omitempty"`
-	Body    string `json:"Body,omitempty"`
-	// Sent is the fingerprint of the operator's call where that is not Body itself.
-	Sent    string      `json:"Sent,omitempty"`
-	Voters  []Voter     `json:"Voters,omitempty"`
-	Purges  []Purge     `json:"Purges,omitempty"`
-	Larders []CacheNode `json:"Larders,omitempty"`
-	// NoLarders: the set of larders is empty.
-	NoLarders bool `json:"NoLarders,omitempty"`
+	Version     int64  `json:"Version,omitempty"`
+	BaseVersion int64  `json:"Base,omitempty"`
+	Body        string `json:"Body,omitempty"`
+	// RequestFingerprint is the fingerprint of the operator's call where that is not Body itself.
+	RequestFingerprint string      `json:"Sent,omitempty"`
+	Voters             []Voter     `json:"Voters,omitempty"`
+	Purges             []Purge     `json:"Purges,omitempty"`
+	CacheNodes         []CacheNode `json:"Larders,omitempty"`
+	// NoCacheNodes: the set of larders is empty.
+	NoCacheNodes bool `json:"NoLarders,omitempty"`
 	// Rollout is an order (without N), or the next phase of one.
 	Rollout *Rollout `json:"Rollout,omitempty"`
 }
@@ -80,9 +80,9 @@
 
 // AppliedChange remembers a configuration that was chosen, to know its resends.
 type AppliedChange struct {
-	Version int64  `json:"Version"`
-	Base    int64  `json:"Base"`
-	Sum     string `json:"Sum"`
+	Version     int64  `json:"Version"`
+	BaseVersion int64  `json:"Base"`
+	Fingerprint string `json:"Sum"`
 	// Slot decided it.
 	Slot int64 `json:"Slot,omitempty"`
 }
@@ -103,17 +103,17 @@
 	VotersSlot int64  `json:"VotersSlot,omitempty"`
 	Version    int64  `json:"Version"`
 	Body       string `json:"Body,omitempty"`
-	// TakenSeq counts the configurations that were chosen; Taken holds the newest ones.
-	TakenSeq int64           `json:"TakenSeq,omitempty"`
-	Taken    []AppliedChange `json:"Taken,omitempty"`
+	// AppliedCount counts the configurations that were chosen; Taken holds the newest ones.
+	AppliedCount   int64           `json:"TakenSeq,omitempty"`
+	AppliedChanges []AppliedChange `json:"Taken,omitempty"`
 	// PurgeSeq is the number of the last purge; Purges holds the newest ones.
-	PurgeSeq int64       `json:"PurgeSeq,omitempty"`
-	Purges   []Purge     `json:"Purges,omitempty"`
-	Larders  []CacheNode `json:"Larders,omitempty"`
+	PurgeSeq   int64       `json:"PurgeSeq,omitempty"`
+	Purges     []Purge     `json:"Purges,omitempty"`
+	CacheNodes []CacheNode `json:"Larders,omitempty"`
 	// Rollouts holds each service's last order, those changed last at the end.
 	Rollouts []Rollout `json:"Rollouts,omitempty"`
-	// Ordered holds the last few orders of each service, the newest at the end.
-	Ordered []PastOrder `json:"Ordered,omitempty"`
+	// PastOrders holds the last few orders of each service, the newest at the end.
+	PastOrders []PastOrder `json:"Ordered,omitempty"`
 }
 
 // CompactedPurgeSeq is the number of the last purge that is no longer held.
@@ -153,43 +153,43 @@
 	case v.Rollout != nil:
 		n.applyRollout(*v.Rollout)
 		return n
-	case len(v.Larders) > 0 || v.NoLarders:
-		n.Larders = v.Larders
+	case len(v.CacheNodes) > 0 || v.NoCacheNodes:
+		n.CacheNodes = v.CacheNodes
 		return n
 	case len(v.Purges) > 0:
 		n.Purges = append([]Purge(nil), s.Purges...)
 		for _, p := range v.Purges {
 			n.PurgeSeq++
-			p.N, p.Slot = n.PurgeSeq, n.Slot
+			p.Seq, p.Slot = n.PurgeSeq, n.Slot
 			n.Purges = append(n.Purges, p)
 		}
 		n.Purges = n.Purges[max(0, len(n.Purges)-maxPurges):]
 		return n
 	}
-	if v.Base != s.Version || v.Version <= s.Version {
+	if v.BaseVersion != s.Version || v.Version <= s.Version {
 		return n
 	}
 	n.Version, n.Body = v.Version, v.Body
-	sum := v.Sent
+	sum := v.RequestFingerprint
 	if sum == "" {
 		sum = Fingerprint(v.Body)
 	}
-	n.rememberChanges(AppliedChange{v.Version, v.Base, sum, n.Slot})
+	n.rememberChanges(AppliedChange{v.Version, v.BaseVersion, sum, n.Slot})
 	return n
 }
 
 // rememberChanges remembers chosen configurations; those before are never changed in place.
 func (s *State) rememberChanges(more ...AppliedChange) {
-	s.TakenSeq += int64(len(more))
-	all := make([]AppliedChange, 0, len(s.Taken)+len(more))
-	all = append(append(all, s.Taken...), more...)
-	s.Taken = all[max(0, len(all)-MaxAppliedChanges):]
+	s.AppliedCount += int64(len(more))
+	all := make([]AppliedChange, 0, len(s.AppliedChanges)+len(more))
+	all = append(append(all, s.AppliedChanges...), more...)
+	s.AppliedChanges = all[max(0, len(all)-MaxAppliedChanges):]
 }
 
 // HasApplied tells whether the change that came by the call with that fingerprint was chosen earlier.
 func (s State) HasApplied(version, base int64, sum string) bool {
-	for i := len(s.Taken) - 1; i >= 0; i-- {
-		if t := s.Taken[i]; t.Version == version && t.Base == base && t.Sum == sum {
+	for i := len(s.AppliedChanges) - 1; i >= 0; i-- {
+		if t := s.AppliedChanges[i]; t.Version == version && t.BaseVersion == base && t.Fingerprint == sum {
 			return true
 		}
 	}
--- a/internal/consensus/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -36,13 +36,13 @@
 		if !ok && f[3] == "none" {
 			return nil
 		}
-		if string(r.Phase) != f[3] || r.Target != f[4] {
+		if string(r.Phase) != f[3] || r.TargetVersion != f[4] {
 			return fmt.Errorf("it is %+v", r)
 		}
 	case "earlier": // earlier A SERVICE TARGET/MS SLOT, SLOT 0: it is not known as an earlier one
 		x := strings.Split(f[3], "/")
 		ms, _ := strconv.ParseInt(x[1], 10, 64)
-		slot, ok := w.accs[f[1]].State.EarlierOrder(Rollout{Service: f[2], Target: x[0], DurationMs: ms})
+		slot, ok := w.accs[f[1]].State.EarlierOrder(Rollout{Service: f[2], TargetVersion: x[0], DurationMs: ms})
 		if fmt.Sprint(slot) != f[4] || ok != (slot > 0) {
 			return fmt.Errorf("slot %d, %v", slot, ok)
 		}
@@ -60,17 +60,17 @@
 		case f[4] == "order":
 			x := strings.Split(f[6], "/")
 			ms, _ := strconv.ParseInt(x[2], 10, 64)
-			own = &Value{Rollout: &Rollout{Service: f[5], From: x[0], Target: x[1], DurationMs: ms}}
+			own = &Value{Rollout: &Rollout{Service: f[5], FromVersion: x[0], TargetVersion: x[1], DurationMs: ms}}
 		case f[4] == "phase":
 			r, _ := base.Rollout(f[5])
-			own = &Value{Rollout: &Rollout{N: r.N, Service: f[5], Phase: Phase(f[6])}}
+			own = &Value{Rollout: &Rollout{OrderSlot: r.OrderSlot, Service: f[5], Phase: Phase(f[6])}}
 		case f[4] != "finish":
 			v, b, _ := strings.Cut(f[4], "/")
 			vn, _ := strconv.ParseInt(v, 10, 64)
 			bn, _ := strconv.ParseInt(b, 10, 64)
-			own = &Value{Version: vn, Base: bn, Body: "body-" + v}
+			own = &Value{Version: vn, BaseVersion: bn, Body: "body-" + v}
 		}
-		w.prop[f[1]] = NewProposer(base, Ballot{N: w.n, By: f[3]}, own)
+		w.prop[f[1]] = NewProposer(base, Ballot{Round: w.n, ProposerID: f[3]}, own)
 	case "to": // to P A,B: the message arrives and so does the answer
 		p := w.prop[f[1]]
 		st := p.Stage
@@ -156,7 +156,7 @@
 			if r.IntN(12) == 0 {
 				at := w.accs[ids[r.IntN(5)]]
 				w.n++
-				p := NewProposer(at.State, Ballot{N: w.n + int64(r.IntN(3)), By: at.ID}, &Value{Version: w.n + 1000, Base: at.State.Version})
+				p := NewProposer(at.State, Ballot{Round: w.n + int64(r.IntN(3)), ProposerID: at.ID}, &Value{Version: w.n + 1000, BaseVersion: at.State.Version})
 				props = append(props, p)
 				send(p)
 			}
@@ -202,7 +202,7 @@
 func TestResendIsKnown(t *testing.T) {
 	s := Genesis([]string{"1.1.1.1"})
 	for v := int64(1); v < 2*MaxAppliedChanges; v++ {
-		s = s.Apply(Value{Version: v, Base: v - 1, Body: fmt.Sprint(v)})
+		s = s.Apply(Value{Version: v, BaseVersion: v - 1, Body: fmt.Sprint(v)})
 	}
 	last := int64(2*MaxAppliedChanges - 1)
 	if !s.HasApplied(last, last-1, Fingerprint(fmt.Sprint(last))) || !s.HasApplied(last-5, last-6, Fingerprint(fmt.Sprint(last-5))) {
@@ -211,8 +211,8 @@
 	if s.HasApplied(last, last-1, Fingerprint("other")) || s.HasApplied(last, last-2, Fingerprint(fmt.Sprint(last))) {
 		t.Fatal("another configuration is taken for the one taken")
 	}
-	if len(s.Taken) != MaxAppliedChanges {
-		t.Fatalf("%d are remembered", len(s.Taken))
+	if len(s.AppliedChanges) != MaxAppliedChanges {
+		t.Fatalf("%d are remembered", len(s.AppliedChanges))
 	}
 }
 
@@ -221,7 +221,7 @@
 func TestEarlierOrdersAreBounded(t *testing.T) {
 	s := Genesis([]string{"1.1.1.1"})
 	order := func(service string, n int) Rollout {
-		return Rollout{Service: service, Target: fmt.Sprint("v", n), DurationMs: 9000}
+		return Rollout{Service: service, TargetVersion: fmt.Sprint("v", n), DurationMs: 9000}
 	}
 	run := func(service string, n int) {
 		o := order(service, n)
@@ -244,8 +244,8 @@
 		run(fmt.Sprint("s", n), 1)
 		run(fmt.Sprint("s", n), 2)
 	}
-	if len(s.Ordered) != maxPastOrders {
-		t.Errorf("%d orders are remembered", len(s.Ordered))
+	if len(s.PastOrders) != maxPastOrders {
+		t.Errorf("%d orders are remembered", len(s.PastOrders))
 	}
 	if _, ok := s.EarlierOrder(order(fmt.Sprint("s", 2*maxPastOrders-1), 1)); !ok {
 		t.Error("an order decided lately is forgotten")
--- a/internal/frontend/pantry_test.go
+++ b/internal/frontend/pantry_test.go
@@ -35,11 +35,11 @@
 	if known, ok := p.Vouch(c, time.Minute, sends); !ok || known != 3 {
 		t.Fatal("it is not vouched for")
 	}
-	p.Take(4, 0, []cache.Purge{{N: 4, Host: "h", Path: "/b"}})
+	p.Take(4, 0, []cache.Purge{{Seq: 4, Host: "h", Path: "/b"}})
 	if known, ok := p.Vouch(c, time.Minute, sends); !ok || known != 4 {
 		t.Fatal("a purge of something else counts")
 	}
-	p.Take(5, 0, []cache.Purge{{N: 5, Host: "h", Path: "/a"}})
+	p.Take(5, 0, []cache.Purge{{Seq: 5, Host: "h", Path: "/a"}})
 	if p.Good(c, time.Minute, sends) || !p.Killed(c) {
 		t.Fatal("a purged copy is served")
 	}
--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -31,7 +31,7 @@
 	h.loop.Call(func() {
 		moved = h.acceptor.State.Slot != base.Slot
 		h.highestRound++
-		b = consensus.Ballot{N: h.highestRound, By: h.acceptor.ID, Life: h.incarnation}
+		b = consensus.Ballot{Round: h.highestRound, ProposerID: h.acceptor.ID, Incarnation: h.incarnation}
 	})
 	if moved {
 		return true
@@ -92,8 +92,8 @@
 		h.loop.Call(func() { h.learn(*p.NewerState, "told") })
 		return true
 	}
-	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.HighestPromised.N) })
-	events.Log(events.ProposalPreempted, "slot", base.Slot+1, "ballot", b.N)
+	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.HighestPromised.Round) })
+	events.Log(events.ProposalPreempted, "slot", base.Slot+1, "ballot", b.Round)
 	return false
 }
 
@@ -110,7 +110,7 @@
 		}
 		var s consensus.State
 		var now consensus.Ballot
-		h.loop.Call(func() { s, now = h.acceptor.State, h.acceptor.Accepted })
+		h.loop.Call(func() { s, now = h.acceptor.State, h.acceptor.AcceptedBallot })
 		if now != (consensus.Ballot{}) && now == seen && !h.isolated() && h.proposalLock.TryLock() {
 			done := h.propose(s, nil)
 			h.proposalLock.Unlock()
@@ -161,7 +161,7 @@
 			go func() {
 				var say PeekResponse
 				if v.IP == h.host.set().IpAddress {
-					h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
+					h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.AcceptedValue != nil} })
 				} else if h.host.call.CallJSON(h.host.set().InternalAddress(v.IP), PathPeek, struct{}{}, &say, config.Milliseconds(h.host.set().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -60,25 +60,25 @@
 			}
 			m.Value = &whole
 		}
-		was := h.acceptor.Accepted
+		was := h.acceptor.AcceptedBallot
 		var needs int64
 		say.Response, needs = h.acceptor.Handle(m.Request)
-		h.highestRound = max(h.highestRound, m.Ballot.N, h.acceptor.Promised.N)
-		if h.acceptor.Accepted != was {
+		h.highestRound = max(h.highestRound, m.Ballot.Round, h.acceptor.Promised.Round)
+		if h.acceptor.AcceptedBallot != was {
 			h.packedValue = m.Packed
 		}
-		if say.Value != nil {
-			say.Value, say.Packed = withoutBody(say.Value, h.packedValue), h.packedValue
+		if say.AcceptedValue != nil {
+			say.AcceptedValue, say.Packed = withoutBody(say.AcceptedValue, h.packedValue), h.packedValue
 		}
-		if say.Ahead != nil {
-			say.Ahead, say.News = nil, h.stateDelta(m.Slot-1)
+		if say.NewerState != nil {
+			say.NewerState, say.News = nil, h.stateDelta(m.Slot-1)
 		}
 		if h.acceptor.IsDurable(needs) {
 			done <- nil
 			return
 		}
 		b, mark := h.acceptor.BallotState()
-		b.Value = withoutBody(b.Value, h.packedValue)
+		b.AcceptedValue = withoutBody(b.AcceptedValue, h.packedValue)
 		h.writeRecord(recordBallot, BallotRecord{b, h.packedValue}, func(e error) {
 			if e == nil {
 				h.loop.Submit(func() { h.acceptor.MarkDurable(mark) })
@@ -97,14 +97,14 @@
 // unpackResponse opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
 func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Response, error) {
-	if say.Value != nil && say.Packed != nil {
+	if say.AcceptedValue != nil && say.Packed != nil {
 		body, err := UnpackDelta(base.Body, say.Packed, h.host.maxMessage())
 		if err != nil {
 			return say.Response, err
 		}
-		whole := *say.Value
+		whole := *say.AcceptedValue
 		whole.Body = body
-		say.Value = &whole
+		say.AcceptedValue = &whole
 	}
 	if say.News != nil {
 		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.maxMessage())
@@ -112,7 +112,7 @@
 			return say.Response, err
 		}
 		if s, ok := base.ApplyDelta(n); ok {
-			say.Ahead = &s
+			say.NewerState = &s
 		}
 	}
 	return say.Response, nil
@@ -185,7 +185,7 @@
 		return h.pastBodies[at].Body, true
 	}, h.host.maxMessage())
 	if err != nil {
-		events.Log(events.MessageRejected, "path", "news", "from", n.From, "slot", n.Slot, "err", err)
+		events.Log(events.MessageRejected, "path", "news", "from", n.FromSlot, "slot", n.Slot, "err", err)
 		return false
 	}
 	s, ok := h.acceptor.State.ApplyDelta(whole)
@@ -209,8 +209,8 @@
 	h.loop.Call(func() {
 		if m.News != nil {
 			h.applyStateDelta(m.News, "told")
-		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.Value != nil && h.acceptor.Accepted == m.Ballot {
-			h.learn(h.acceptor.State.Apply(*h.acceptor.Value), "accepted")
+		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.AcceptedValue != nil && h.acceptor.AcceptedBallot == m.Ballot {
+			h.learn(h.acceptor.State.Apply(*h.acceptor.AcceptedValue), "accepted")
 		}
 	})
 	transport.WriteJSON(c, 200, LearnResponse{h.waitDurable()})
--- a/internal/lodge/canary.go
+++ b/internal/lodge/canary.go
@@ -86,7 +86,7 @@
 		t.rollouts.orders[r.Service] = r
 		if r.Phase == consensus.PhaseTrial && now > t.host.heartbeat(4) {
 			// One that has just started does not know how much of it is over.
-			t.rollouts.trialUntil[r.N] = now + time.Duration(r.ForMs)*time.Millisecond
+			t.rollouts.trialUntil[r.OrderSlot] = now + time.Duration(r.TrialMs)*time.Millisecond
 		}
 	}
 	first := t.progress.Load().rolloutSlot < 0
@@ -108,13 +108,13 @@
 	}
 	o, e := t.options.Rollout, t.host.exposure()
 	for service, r := range t.rollouts.orders {
-		l := &rollout.Lane{From: r.From, Target: r.Target, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.N], Halted: t.rollouts.halted[r.N]}
+		l := &rollout.Lane{From: r.FromVersion, Target: r.TargetVersion, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.OrderSlot], Halted: t.rollouts.halted[r.OrderSlot]}
 		if l.From == "" && lanes[service] != nil {
 			l.From = lanes[service].From
 		}
 		lanes[service] = l
 		if r.Running() {
-			watches[service] = observedRollout{r.N, l.From, r.Target, t.countEndpoints(service, r.Target) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
+			watches[service] = observedRollout{r.OrderSlot, l.From, r.TargetVersion, t.countEndpoints(service, r.TargetVersion) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
 		}
 	}
 	for service, l := range lanes {
--- a/internal/lodge/golden_test.go
+++ b/internal/lodge/golden_test.go
@@ -378,9 +378,9 @@
 
 	back := stateRecords(all.State, -1, 0)
 	bare := all.Ballots
-	value := *bare.Value
+	value := *bare.AcceptedValue
 	value.Body = "" // it stands in Packed
-	bare.Value = &value
+	bare.AcceptedValue = &value
 	for name, v := range map[string]any{recordIdentity: all.Identity, recordIncarnation: all.Life, recordLeases: all.Leases, recordTable: all.Table, recordFronts: all.Fronts, recordTerms: all.Terms, recordBallot: BallotRecord{bare, all.Packed}} {
 		back[name] = Encode(name, v)
 	}
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.TakenSeq
+	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.AppliedCount
 	h.incarnation++
 	records := map[string][]byte{recordIncarnation: Encode(recordIncarnation, h.incarnation)}
 	if id == "" {
@@ -152,7 +152,7 @@
 	}
 	h.acceptor.ID = id
 	h.acceptor.Restore(st, ballots)
-	h.packedValue, h.highestRound = packed, h.acceptor.Promised.N
+	h.packedValue, h.highestRound = packed, h.acceptor.Promised.Round
 	h.bootID = rand.Int64N(1<<40) << 10
 	h.unreachable.revision = h.bootID
 	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.heartbeat(1), n.steady()), h.inheritedFrontCount
@@ -321,7 +321,7 @@
 		}
 	case PathPeek:
 		var say PeekResponse
-		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.Value != nil} })
+		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.AcceptedValue != nil} })
 		transport.WriteJSON(c, 200, say)
 	case PathHeartbeat:
 		var m Heartbeat
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -173,7 +173,7 @@
 
 // grantLease lets the voter answer; it runs on the desk.
 func (h *ControlServer) grantLease(b lease.Request, now time.Duration) (lease.Response, int64) {
-	h.voter.SetReconfigurationPending(h.acceptor.Value != nil && len(h.acceptor.Value.Voters) > 0)
+	h.voter.SetReconfigurationPending(h.acceptor.AcceptedValue != nil && len(h.acceptor.AcceptedValue.Voters) > 0)
 	return h.voter.HandleRequest(b, now)
 }
 
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -61,7 +61,7 @@
 		held.Fronts = h.persistedFrontCount
 		// The store writes in order: once this is on disk, so is all before it.
 		s := h.acceptor.State
-		h.store.PutAll(stateRecords(s, s.Version, s.TakenSeq), func(e error) {
+		h.store.PutAll(stateRecords(s, s.Version, s.AppliedCount), func(e error) {
 			if e == nil {
 				h.loop.Submit(func() { h.acceptor.MarkStateDurable(s.Slot); h.wakeDurabilityWaiters() })
 			}
@@ -493,7 +493,7 @@
 	for try := 0; time.Now().Before(until); try++ {
 		var s consensus.State
 		begun := false
-		h.loop.Call(func() { s, begun = h.acceptor.State, h.acceptor.Value != nil })
+		h.loop.Call(func() { s, begun = h.acceptor.State, h.acceptor.AcceptedValue != nil })
 		if !begun || h.isolated() {
 			return
 		}
@@ -513,7 +513,7 @@
 		var mine Heartbeat
 		h.loop.Call(func() {
 			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
-			p = membership.DrainProgress{ProposalPending: h.acceptor.Value != nil, IsVoter: s.IsVoter(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
+			p = membership.DrainProgress{ProposalPending: h.acceptor.AcceptedValue != nil, IsVoter: s.IsVoter(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
 		})
 		if p.ProposalPending {
 			select {
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -190,7 +190,7 @@
 	w.at(3, 1, 2, 3, 4)
 	h := w.hut(3)
 	var stamp endpoints.Stamp
-	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: configBody(9, "s1"), Sent: "x"}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: configBody(9, "s1"), RequestFingerprint: "x"}}}
 	for _, k := range []int{1, 3} {
 		if say, err := w.hut(k).handleConsensus(m); err != nil || !say.OK {
 			t.Errorf("hut %d has not accepted: %+v %v", k, say, err)
@@ -237,7 +237,7 @@
 	}
 	// It knows what became of the value before it is gone.
 	h.loop.Call(func() {
-		if h.acceptor.Value != nil || h.acceptor.State.Version != 9 {
+		if h.acceptor.AcceptedValue != nil || h.acceptor.State.Version != 9 {
 			t.Errorf("it left with something begun, at version %d", h.acceptor.State.Version)
 		}
 	})
@@ -385,7 +385,7 @@
 	w.at(3, 1, 2, 3)
 	h := w.hut(2)
 	body := configBody(9, "s1")
-	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: body}}}
 	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
@@ -401,7 +401,7 @@
 	w := core(t, 1, 1, 2, 3)
 	w.at(3, 1, 2, 3)
 	h, n, body := w.hut(3), w.nodes["3"], configBody(9, "s1")
-	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{N: 1 << 20, By: "gone"}, Value: &consensus.Value{Version: 9, Base: 3, Body: body, Sent: "x"}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: body, RequestFingerprint: "x"}}}
 	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -113,7 +113,7 @@
 	if version <= base {
 		return 400, changeResult{why: "Version is not above the one it builds on"}
 	}
-	status, end := h.decideConfiguration(&consensus.Value{Version: version, Base: base, Body: body, Sent: sum}, patch, until)
+	status, end := h.decideConfiguration(&consensus.Value{Version: version, BaseVersion: base, Body: body, RequestFingerprint: sum}, patch, until)
 	if status != 200 {
 		return status, end
 	}
@@ -133,18 +133,18 @@
 		h.proposalLock.YieldToUrgent()
 		s := h.State()
 		switch {
-		case s.HasApplied(own.Version, own.Base, own.Sent):
+		case s.HasApplied(own.Version, own.BaseVersion, own.RequestFingerprint):
 			return 200, changeResult{}
-		case own.Base < s.Version:
+		case own.BaseVersion < s.Version:
 			return 412, staleBase(s.Version)
 		case time.Now().After(until):
 			return 503, changeResult{why: "no majority agreed in time"}
 		case h.isolated():
 			return 503, changeResult{why: "no majority can be reached"}
-		case own.Base > s.Version:
+		case own.BaseVersion > s.Version:
 			// This node may be behind: whoever knows more will say so.
 			fresh, ok := h.readDuringProposal(until)
-			if ok && fresh.Version < own.Base {
+			if ok && fresh.Version < own.BaseVersion {
 				return 412, staleBase(fresh.Version)
 			}
 			if !ok {
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -279,7 +279,7 @@
 		if r.Phase == phase {
 			return
 		}
-		h.propose(s, &consensus.Value{Rollout: &consensus.Rollout{N: r.N, Service: "plain", Phase: phase}})
+		h.propose(s, &consensus.Value{Rollout: &consensus.Rollout{OrderSlot: r.OrderSlot, Service: "plain", Phase: phase}})
 	}
 	t.Fatalf("the order did not become %s", phase)
 }
@@ -293,7 +293,7 @@
 	}
 	last := func(want string, phase consensus.Phase) {
 		t.Helper()
-		if r, _ := h.State().Rollout("plain"); r.Target != want || r.Phase != phase {
+		if r, _ := h.State().Rollout("plain"); r.TargetVersion != want || r.Phase != phase {
 			t.Fatalf("the last order is %+v, want %s %s", r, want, phase)
 		}
 	}
@@ -353,7 +353,7 @@
 	if status, _ := w.sendOrder(2, PathRollouts, strings.Replace(anOrder, "v2", "v3", 1), nil); status != 200 {
 		t.Errorf("an order where the node took the last one for running: %d", status)
 	}
-	if r, _ := two.State().Rollout("plain"); r.Target != "v3" {
+	if r, _ := two.State().Rollout("plain"); r.TargetVersion != "v3" {
 		t.Errorf("the last order is %+v", r)
 	}
 }
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -167,11 +167,11 @@
 		if !s.IsVoter(h.acceptor.ID) {
 			return false
 		}
-		list := change(s.Larders)
+		list := change(s.CacheNodes)
 		if list == nil {
 			return true
 		}
-		if !h.propose(s, &consensus.Value{Larders: list, NoLarders: len(list) == 0}) {
+		if !h.propose(s, &consensus.Value{CacheNodes: list, NoCacheNodes: len(list) == 0}) {
 			h.backOff(try)
 		}
 	}
@@ -185,7 +185,7 @@
 	h.loop.Call(func() {
 		now := h.host.steady()
 		long := config.Seconds(h.host.set().Bounds.CatchUpS, 1)
-		for _, l := range h.acceptor.State.Larders {
+		for _, l := range h.acceptor.State.CacheNodes {
 			at := h.cacheNodeHeardAt[l.IP]
 			for _, f := range h.fronts {
 				if f.cacheNode && f.ip == l.IP {
--- a/internal/lodge/records.go
+++ b/internal/lodge/records.go
@@ -81,10 +81,10 @@
 		return s, b, nil, fmt.Errorf("record %s on disk is of version %d, not %d", recordBody, body.Version, s.Version)
 	}
 	s.Body = body.Body
-	s.Taken = slices.Concat(pages...)
-	slices.SortFunc(s.Taken, func(a, b consensus.AppliedChange) int { return int(a.Slot - b.Slot) })
-	s.Taken = s.Taken[max(0, len(s.Taken)-consensus.MaxAppliedChanges):]
-	if v := rec.Value; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
+	s.AppliedChanges = slices.Concat(pages...)
+	slices.SortFunc(s.AppliedChanges, func(a, b consensus.AppliedChange) int { return int(a.Slot - b.Slot) })
+	s.AppliedChanges = s.AppliedChanges[max(0, len(s.AppliedChanges)-consensus.MaxAppliedChanges):]
+	if v := rec.AcceptedValue; v != nil && rec.Slot == s.Slot+1 && rec.Packed != nil {
 		if v.Body, err = UnpackDelta(s.Body, rec.Packed, most); err != nil {
 			return s, b, nil, errors.New("record " + recordBallot + " on disk can't be read: " + err.Error())
 		}
@@ -96,16 +96,16 @@
 // that version and count of taken changes.
 func stateRecords(s consensus.State, version, takenSeq int64) map[string][]byte {
 	small := s
-	small.Body, small.Taken = "", nil
+	small.Body, small.AppliedChanges = "", nil
 	records := map[string][]byte{recordState: Encode(recordState, small)}
 	if s.Version != version {
 		records[recordBody] = Encode(recordBody, BodyRecord{s.Version, s.Body})
 	}
-	first := s.TakenSeq - int64(len(s.Taken)) // of those before the ones held
-	for at := max(first, takenSeq) / takenPage; at*takenPage < s.TakenSeq; at++ {
-		from, to := max(at*takenPage, first), min((at+1)*takenPage, s.TakenSeq)
+	first := s.AppliedCount - int64(len(s.AppliedChanges)) // of those before the ones held
+	for at := max(first, takenSeq) / takenPage; at*takenPage < s.AppliedCount; at++ {
+		from, to := max(at*takenPage, first), min((at+1)*takenPage, s.AppliedCount)
 		name := fmt.Sprintf(recordTakenPage, at%takenPages)
-		records[name] = Encode(name, s.Taken[from-first:to-first])
+		records[name] = Encode(name, s.AppliedChanges[from-first:to-first])
 	}
 	return records
 }
@@ -115,7 +115,7 @@
 func (h *ControlServer) persistState() {
 	s := h.acceptor.State
 	version, seq := h.lastWrite.version, h.lastWrite.takenSeq
-	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.TakenSeq
+	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.AppliedCount
 	h.store.PutAll(stateRecords(s, version, seq), func(err error) {
 		h.loop.Submit(func() {
 			if err == nil {
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -58,7 +58,7 @@
 
 // rolloutRunning tells whether an order is not settled; it runs on the desk.
 func (h *ControlServer) rolloutRunning(order int64) bool {
-	return slices.ContainsFunc(h.acceptor.State.Rollouts, func(r consensus.Rollout) bool { return r.N == order && r.Running() })
+	return slices.ContainsFunc(h.acceptor.State.Rollouts, func(r consensus.Rollout) bool { return r.OrderSlot == order && r.Running() })
 }
 
 // applyRollouts takes the orders as they were decided; it runs on the desk.
@@ -67,7 +67,7 @@
 	h.rollouts.phaseKnownAt = map[int64]knownPhase{}
 	ordered := h.rollouts.orderKnownAt
 	h.rollouts.orderKnownAt = map[int64]time.Duration{}
-	for _, o := range h.acceptor.State.Ordered {
+	for _, o := range h.acceptor.State.PastOrders {
 		at, ok := ordered[o.Slot]
 		if !ok {
 			at = now
@@ -75,19 +75,19 @@
 		h.rollouts.orderKnownAt[o.Slot] = at
 	}
 	for _, r := range h.acceptor.State.Rollouts {
-		if k := known[r.N]; k.slot == r.Slot {
-			h.rollouts.phaseKnownAt[r.N] = k
+		if k := known[r.OrderSlot]; k.slot == r.Slot {
+			h.rollouts.phaseKnownAt[r.OrderSlot] = k
 			continue
 		}
-		h.rollouts.phaseKnownAt[r.N] = knownPhase{r.Slot, now}
+		h.rollouts.phaseKnownAt[r.OrderSlot] = knownPhase{r.Slot, now}
 		if r.Running() {
-			h.rollouts.clock.Hear(r.N, time.Duration(r.SpentMs)*time.Millisecond, now)
+			h.rollouts.clock.Hear(r.OrderSlot, time.Duration(r.ElapsedMs)*time.Millisecond, now)
 			h.persistTerms(now)
 		}
 		if r.Phase == consensus.PhaseCanary {
-			events.Log(events.RolloutAccepted, "service", r.Service, "from", r.From, "to", r.Target, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.N)
+			events.Log(events.RolloutAccepted, "service", r.Service, "from", r.FromVersion, "to", r.TargetVersion, "term", time.Duration(r.DurationMs)*time.Millisecond, "order", r.OrderSlot)
 		} else {
-			events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.Target, "phase", r.Phase, "spent", time.Duration(r.SpentMs)*time.Millisecond, "asked", r.Asked, "of", r.Of, "why", r.Why, "order", r.N)
+			events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.TargetVersion, "phase", r.Phase, "spent", time.Duration(r.ElapsedMs)*time.Millisecond, "asked", r.TargetAttempts, "of", r.TotalAttempts, "why", r.Reason, "order", r.OrderSlot)
 		}
 	}
 }
@@ -123,17 +123,17 @@
 		byOrder[e.Order] = append(byOrder[e.Order], e)
 	}
 	for _, r := range h.acceptor.State.Rollouts {
-		if r.Running() && len(byOrder[r.N]) > 0 {
-			h.evaluator(r).Add(byOrder[r.N])
+		if r.Running() && len(byOrder[r.OrderSlot]) > 0 {
+			h.evaluator(r).Add(byOrder[r.OrderSlot])
 		}
 	}
 }
 
 func (h *ControlServer) evaluator(r consensus.Rollout) *rollout.Judge {
-	j := h.rollouts.evaluators[r.N]
+	j := h.rollouts.evaluators[r.OrderSlot]
 	if j == nil {
 		j = rollout.NewJudge(h.host.options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.host.steady())
-		h.rollouts.evaluators[r.N] = j
+		h.rollouts.evaluators[r.OrderSlot] = j
 	}
 	return j
 }
@@ -149,7 +149,7 @@
 		}
 		for _, f := range h.fronts {
 			if f.rolloutSlot < r.Slot && now < f.overdueAt {
-				out[r.N]++
+				out[r.OrderSlot]++
 			}
 		}
 	}
@@ -216,23 +216,23 @@
 		j.Loaded = r.Phase != consensus.PhaseCanary
 		for _, a := range j.Step(now) {
 			if a.Bad {
-				events.Log(events.CUSUMAlarm, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route)
+				events.Log(events.CUSUMAlarm, "service", r.Service, "version", r.TargetVersion, "metric", a.Metric, "route", a.Route)
 			} else {
-				events.Log(events.CUSUMAlarmDismissed, "service", r.Service, "version", r.Target, "metric", a.Metric, "route", a.Route, "better", a.Better)
+				events.Log(events.CUSUMAlarmDismissed, "service", r.Service, "version", r.TargetVersion, "metric", a.Metric, "route", a.Route, "better", a.Better)
 			}
 		}
 		f := rollout.Facts{
-			Rollout: r, Spent: c.clock.Spent(r.N, now), Since: now - c.phaseKnownAt[r.N].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
-			Behind: lag[r.N], Report: h.host.heartbeat(0.6), Settle: config.Milliseconds(h.host.set().Bounds.ConfigEffectMs, 0.5),
+			Rollout: r, Spent: c.clock.Spent(r.OrderSlot, now), Since: now - c.phaseKnownAt[r.OrderSlot].at, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good,
+			Behind: lag[r.OrderSlot], Report: h.host.heartbeat(0.6), Settle: config.Milliseconds(h.host.set().Bounds.ConfigEffectMs, 0.5),
 		}
 		for _, b := range c.laggingReports {
 			if now-b.at < h.host.heartbeat(1) {
-				f.Behind += b.orders[r.N]
+				f.Behind += b.orders[r.OrderSlot]
 			}
 		}
 		f.Ready, f.Old = h.capacity(r)
 		if s := rollout.Decide(f, h.host.options.Rollout, h.host.exposure()); s.Phase != "" {
-			steps = append(steps, consensus.Rollout{N: r.N, Service: r.Service, Target: r.Target, Phase: s.Phase, SpentMs: f.Spent.Milliseconds(), ForMs: s.For.Milliseconds(), Asked: j.New, Of: j.New + j.Old, Why: s.Why})
+			steps = append(steps, consensus.Rollout{OrderSlot: r.OrderSlot, Service: r.Service, TargetVersion: r.TargetVersion, Phase: s.Phase, ElapsedMs: f.Spent.Milliseconds(), TrialMs: s.For.Milliseconds(), TargetAttempts: j.New, TotalAttempts: j.New + j.Old, Reason: s.Why})
 		}
 	}
 	return steps, nil, ""
@@ -249,9 +249,9 @@
 			continue
 		}
 		switch slots := max(1, s.Slots); {
-		case s.Version == r.Target && !s.WarmingUp:
+		case s.Version == r.TargetVersion && !s.WarmingUp:
 			ready += slots
-		case s.Version == r.From:
+		case s.Version == r.FromVersion:
 			old += slots
 		}
 	}
@@ -269,7 +269,7 @@
 	for try := 0; time.Now().Before(until); try++ {
 		s := h.State()
 		now, ok := s.Rollout(r.Service)
-		if !ok || now.N != r.N || !now.Running() || now.Phase == r.Phase || !s.IsVoter(h.acceptor.ID) {
+		if !ok || now.OrderSlot != r.OrderSlot || !now.Running() || now.Phase == r.Phase || !s.IsVoter(h.acceptor.ID) {
 			return
 		}
 		if !h.propose(s, &consensus.Value{Rollout: &r}) {
@@ -317,7 +317,7 @@
 		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 		return
 	}
-	status, why := h.decideOrder(consensus.Rollout{Service: o.Service, Target: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
+	status, why := h.decideOrder(consensus.Rollout{Service: o.Service, TargetVersion: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
 	if status == 200 && !h.waitReplicated(until) {
 		status, why = 503, "too few nodes hold it yet"
 	}
@@ -352,14 +352,14 @@
 		case h.isolated():
 			return 503, "no majority can be reached"
 		case h.isDuplicateOrder(s, o):
-			events.Log(events.RolloutOrderStale, "service", o.Service, "to", o.Target)
+			events.Log(events.RolloutOrderStale, "service", o.Service, "to", o.TargetVersion)
 			return 200, ""
 		}
 		runs := known && old.Running()
 		if runs || !hasService(s, o.Service) {
 			switch {
 			case fresh && runs:
-				return 409, "Service has another rollout under way, to " + old.Target
+				return 409, "Service has another rollout under way, to " + old.TargetVersion
 			case fresh:
 				return 400, "Service is not in the configuration"
 			}
@@ -369,10 +369,10 @@
 			}
 			continue
 		}
-		if o.From = old.ActiveVersion(); !known {
+		if o.FromVersion = old.ActiveVersion(); !known {
 			h.loop.Call(func() {
 				if h.table != nil {
-					o.From = h.table.InitialVersions[o.Service]
+					o.FromVersion = h.table.InitialVersions[o.Service]
 				}
 			})
 		}
@@ -426,9 +426,9 @@
 	out := []RolloutStatus{}
 	h.loop.Call(func() {
 		for _, r := range slices.Backward(s.Rollouts) {
-			x := RolloutStatus{Service: r.Service, State: r.Status(), TargetVersion: r.Target, FromVersion: r.From, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.Asked, Of: r.Of, Why: r.Why}
+			x := RolloutStatus{Service: r.Service, State: r.Status(), TargetVersion: r.TargetVersion, FromVersion: r.FromVersion, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.TargetAttempts, Of: r.TotalAttempts, Why: r.Reason}
 			if r.Running() {
-				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.N, h.host.steady()).Seconds())
+				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.OrderSlot, h.host.steady()).Seconds())
 			}
 			out = append(out, x)
 		}
--- a/internal/lodge/start_test.go
+++ b/internal/lodge/start_test.go
@@ -36,7 +36,7 @@
 		// that a later one's word is never taken for an earlier one's.
 		var send *RolloutTotals
 		h.loop.Call(func() {
-			h.acceptor.State.Rollouts = []consensus.Rollout{{N: 1, Service: "plain", Target: "v2", Phase: consensus.PhaseCanary}}
+			h.acceptor.State.Rollouts = []consensus.Rollout{{OrderSlot: 1, Service: "plain", TargetVersion: "v2", Phase: consensus.PhaseCanary}}
 			_, send, _ = h.rolloutStep()
 		})
 		if send == nil || send.Life != life {
--- a/internal/lodge/status.go
+++ b/internal/lodge/status.go
@@ -61,8 +61,8 @@
 			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
 		}
 		st.Lone, st.Life, st.Kept, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.DurableSlot(), s.VotersSlot
-		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.Accepted.String()
-		st.Resends, st.Changes = len(s.Taken), s.TakenSeq
+		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.AcceptedBallot.String()
+		st.Resends, st.Changes = len(s.AppliedChanges), s.AppliedCount
 		for _, o := range h.peers {
 			if now-o.heardAt < h.host.heartbeat(2) {
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
@@ -79,7 +79,7 @@
 			st.Fronts[name] = f.slot
 		}
 		st.Purge = s.PurgeSeq
-		for _, l := range s.Larders {
+		for _, l := range s.CacheNodes {
 			st.Larders = append(st.Larders, l.Name+"@"+l.IP)
 		}
 	})
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -95,7 +95,7 @@
 		for _, v := range s.Voters {
 			say.Huts = append(say.Huts, ControlNode{v.IP, h.zoneOf(v.IP)})
 		}
-		say.Larders = s.Larders
+		say.Larders = s.CacheNodes
 	}
 	if m.Roster {
 		say.Roster = h.roster(now, m.Zone)
--- a/internal/membership/stale_voters_test.go
+++ b/internal/membership/stale_voters_test.go
@@ -17,7 +17,7 @@
 // that it reaches.
 func (g *acceptorGroup) propose(by string, own *consensus.Value, reachable ...string) *consensus.Proposer {
 	g.ballot++
-	p := consensus.NewProposer(g.acceptors[by].State, consensus.Ballot{N: g.ballot, By: by}, own)
+	p := consensus.NewProposer(g.acceptors[by].State, consensus.Ballot{Round: g.ballot, ProposerID: by}, own)
 	for p.Stage <= consensus.StageAccepting {
 		stage := p.Stage
 		for _, id := range reachable {
--- a/internal/rollout/belay_test.go
+++ b/internal/rollout/belay_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	o, e := Defaults(), Exposure{Share: 0.1, Slack: 50}
-	r := consensus.Rollout{N: 1, Service: "s", From: "v1", Target: "v2", DurationMs: 16000, Phase: consensus.PhaseCanary}
+	r := consensus.Rollout{OrderSlot: 1, Service: "s", FromVersion: "v1", TargetVersion: "v2", DurationMs: 16000, Phase: consensus.PhaseCanary}
 	j := NewJudge(o, 16*time.Second, 0)
 	const tick = 180 * time.Millisecond
 	speeds := []float64{0.8, 1, 1.3, 1}
@@ -40,7 +40,7 @@
 			if rnd.Float64() < 0.3 {
 				route = "b"
 			}
-			lane := &Lane{From: "v1", Target: "v2", Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: since + time.Duration(r.ForMs)*time.Millisecond}
+			lane := &Lane{From: "v1", Target: "v2", Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: since + time.Duration(r.TrialMs)*time.Millisecond}
 			w := lane.Way(now, 0, time.Second, rnd.Float64())
 			isNew := w.Once == "v2" || w.Then == "v2"
 			who := rnd.IntN(4)
@@ -75,7 +75,7 @@
 		j.Step(now)
 		s := Decide(Facts{Rollout: r, Spent: now, Since: now - since, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good, Ready: 8, Old: 8, Report: 700 * time.Millisecond, Settle: 2 * time.Second}, o, e)
 		if s.Phase != "" {
-			r.Phase, r.ForMs, since = s.Phase, s.For.Milliseconds(), now
+			r.Phase, r.TrialMs, since = s.Phase, s.For.Milliseconds(), now
 		}
 		if !r.Running() {
 			return r.Phase, now, asked
@@ -239,7 +239,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	good := Facts{Rollout: consensus.Rollout{N: 1, DurationMs: 16000}, Rate: 100, New: 50, Good: 50, Ready: 8, Old: 8, Report: time.Second, Settle: 2 * time.Second, Since: 3 * time.Second}
+	good := Facts{Rollout: consensus.Rollout{OrderSlot: 1, DurationMs: 16000}, Rate: 100, New: 50, Good: 50, Ready: 8, Old: 8, Report: time.Second, Settle: 2 * time.Second, Since: 3 * time.Second}
 	for name, x := range map[string]struct {
 		change func(f *Facts)
 		want   consensus.Phase
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -61,7 +61,7 @@
 		}
 		return Step{Phase: consensus.PhaseTrial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
 	case consensus.PhaseTrial:
-		if f.Since < time.Duration(f.Rollout.ForMs)*time.Millisecond+f.Report || f.Ready == 0 {
+		if f.Since < time.Duration(f.Rollout.TrialMs)*time.Millisecond+f.Report || f.Ready == 0 {
 			return Step{}
 		}
 		// Where requests come, some of the new version's must have been answered.
