--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -175,11 +175,11 @@
 	}
 	if c.request.Epoch == 0 {
 		c.request = Request{
-			Duty:       c.Role,
-			Epoch:      max(c.highestEpoch+1, firstEpoch(c.votersSlot)),
-			Holder:     c.Self,
-			Life:       c.incarnation,
-			VotersSlot: c.votersSlot,
+			Role:        c.Role,
+			Epoch:       max(c.highestEpoch+1, firstEpoch(c.votersSlot)),
+			Holder:      c.Self,
+			Incarnation: c.incarnation,
+			VotersSlot:  c.votersSlot,
 		}
 	}
 	if c.Holds(now) || c.lastProgress == 0 {
@@ -217,7 +217,7 @@
 	if request != c.request || request.Epoch == 0 || !slices.Contains(c.order, response.Voter) {
 		return
 	}
-	if response.OK {
+	if response.Granted {
 		c.onGrant(response.Voter, sent)
 		return
 	}
--- a/internal/lease/candidate_test.go
+++ b/internal/lease/candidate_test.go
@@ -12,7 +12,7 @@
 const role = "list"
 
 func newRequest(epoch int64, holder string, incarnation, votersSlot int64) Request {
-	return Request{Duty: role, Epoch: epoch, Holder: holder, Life: incarnation, VotersSlot: votersSlot}
+	return Request{Role: role, Epoch: epoch, Holder: holder, Incarnation: incarnation, VotersSlot: votersSlot}
 }
 
 // cluster is some nodes, each a voter and a candidate, whose calls arrive at once.
@@ -125,7 +125,7 @@
 	}
 	// A release that arrives late ends nothing.
 	c.voters["b"].HandleRelease(released, 34*lease/20)
-	if response, _ := c.voters["b"].HandleRequest(newRequest(9, "c", 1, 0), 34*lease/20); response.OK {
+	if response, _ := c.voters["b"].HandleRequest(newRequest(9, "c", 1, 0), 34*lease/20); response.Granted {
 		t.Fatal("an old release ended a newer lease")
 	}
 	// A node that drains releases the lease at once.
@@ -139,7 +139,7 @@
 	c.SetIncarnation(1)
 	c.SetVoters(0, []string{"a"})
 	request, _ := c.NextRequest(1)
-	c.OnResponse(request, Response{Voter: "a", OK: true}, 1, 1)
+	c.OnResponse(request, Response{Voter: "a", Granted: true}, 1, 1)
 	if !c.Holds(1) {
 		t.Fatal("a sole voter is no majority")
 	}
--- a/internal/lease/exhaustive_test.go
+++ b/internal/lease/exhaustive_test.go
@@ -122,8 +122,8 @@
 		sent = m.now
 	}
 	m.candidates[candidate].OnResponse(r.request, r.response, sent, m.now)
-	if m.fault == singleGrantSuffices && r.response.OK {
-		m.candidates[candidate].OnResponse(r.request, Response{Voter: "c", OK: true}, sent, m.now)
+	if m.fault == singleGrantSuffices && r.response.Granted {
+		m.candidates[candidate].OnResponse(r.request, Response{Voter: "c", Granted: true}, sent, m.now)
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	m.requests[candidate][voter] = nil
 	m.responses[candidate][voter] = m.handleRequest(voter, *r)
-	granted := m.responses[candidate][voter].response.OK
+	granted := m.responses[candidate][voter].response.Granted
 	m.trace = append(m.trace, fmt.Sprintf("voter %d handles epoch %d of %s: granted %v", voter, r.request.Epoch, r.request.Holder, granted))
 	return true
 }
--- a/internal/lease/simulated_node_test.go
+++ b/internal/lease/simulated_node_test.go
@@ -133,9 +133,9 @@
 		v := m.nodes[to]
 		v.voter.SetReconfigurationPending(v.disk.accepted != nil && m.fault != renewWhileReconfiguring)
 		response, write := v.voter.HandleRequest(request, m.clock(to))
-		if m.fault == singleGrantSuffices && from == to && response.OK {
+		if m.fault == singleGrantSuffices && from == to && response.Granted {
 			for _, id := range m.nodes[from].voterSet.voters {
-				m.nodes[from].candidate.OnResponse(request, Response{Voter: id, OK: true}, sent, m.clock(from))
+				m.nodes[from].candidate.OnResponse(request, Response{Voter: id, Granted: true}, sent, m.clock(from))
 			}
 		}
 		respond := func() {
--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -17,29 +17,29 @@
 // Record is what a voter keeps on disk of a duty: the highest epoch that it
 // granted, and to which life of which holder.
 type Record struct {
-	Epoch  int64  `json:"Epoch"`
-	Holder string `json:"Holder"`
-	Life   int64  `json:"Life"`
+	Epoch       int64  `json:"Epoch"`
+	Holder      string `json:"Holder"`
+	Incarnation int64  `json:"Life"`
 }
 
 // Request asks a voter for a duty's lease under an epoch; the same bid again
 // renews it.
 type Request struct {
-	Duty   string `json:"Duty"`
+	Role   string `json:"Duty"`
 	Epoch  int64  `json:"Epoch"`
 	Holder string `json:"Holder"`
-	// Life numbers the lives of the holder's process; it is on its disk.
-	Life int64 `json:"Life"`
+	// Incarnation numbers the lives of the holder's process; it is on its disk.
+	Incarnation int64 `json:"Life"`
 	// VotersSlot is the slot that decided the voters that are asked.
 	VotersSlot int64 `json:"VotersSlot"`
 }
 
-func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Life} }
+func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Incarnation} }
 
 // Response is a voter's answer.
 type Response struct {
-	Voter string `json:"Voter"`
-	OK    bool   `json:"OK"`
+	Voter   string `json:"Voter"`
+	Granted bool   `json:"OK"`
 	// Record is what the voter has granted. It is not a promise unless OK.
 	Record Record `json:"Record"`
 	// VotersSlot is the slot that decided the voters that this one knows.
@@ -131,7 +131,7 @@
 // leave only once the write of that number is on disk: a voter that forgot a
 // grant could grant its epoch a second time.
 func (v *Voter) HandleRequest(r Request, now time.Duration) (response Response, write int64) {
-	record := v.records[r.Duty]
+	record := v.records[r.Role]
 	response = Response{Voter: v.self, Record: record, VotersSlot: v.votersSlot}
 	if !v.accepts(r) {
 		return response, 0
@@ -140,11 +140,11 @@
 		if !v.mayGrant(r, record, now) {
 			return response, 0
 		}
-		v.records[r.Duty] = r.record()
+		v.records[r.Role] = r.record()
 		v.lastWrite++
 	}
-	v.expiresAt[r.Duty] = now + v.leaseDuration
-	response.OK, response.Record = true, r.record()
+	v.expiresAt[r.Role] = now + v.leaseDuration
+	response.Granted, response.Record = true, r.record()
 	if v.durableWrite < v.lastWrite {
 		write = v.lastWrite
 	}
@@ -163,11 +163,11 @@
 	switch {
 	case r.Epoch <= record.Epoch:
 		return false
-	case sameHolder && r.Life < record.Life:
+	case sameHolder && r.Incarnation < record.Incarnation:
 		return false
 	case now < v.blockedUntil:
 		return false
-	case !sameHolder && now < v.expiresAt[r.Duty]:
+	case !sameHolder && now < v.expiresAt[r.Role]:
 		return false
 	case now < v.startedAt+v.leaseDuration:
 		return v.mayGrantAfterStart(record, sameHolder)
@@ -189,7 +189,7 @@
 // HandleRelease ends the lease of that request before it expires. A release
 // that arrives after another request was granted has no effect.
 func (v *Voter) HandleRelease(r Request, now time.Duration) {
-	if v.records[r.Duty] == r.record() {
-		v.expiresAt[r.Duty] = now
+	if v.records[r.Role] == r.record() {
+		v.expiresAt[r.Role] = now
 	}
 }
--- a/internal/lease/voter_test.go
+++ b/internal/lease/voter_test.go
@@ -5,8 +5,8 @@
 // wantGrant checks whether the voter grants the request.
 func wantGrant(t *testing.T, response Response, want bool, why string) {
 	t.Helper()
-	if response.OK != want {
-		t.Fatalf("granted: %v, want %v: %s", response.OK, want, why)
+	if response.Granted != want {
+		t.Fatalf("granted: %v, want %v: %s", response.Granted, want, why)
 	}
 }
 
@@ -16,7 +16,7 @@
 	v := NewVoter("v", lease, nil, 0, true, 0)
 	request := newRequest(1, "a", 1, 0)
 	response, write := v.HandleRequest(request, lease)
-	if !response.OK || write == 0 {
+	if !response.Granted || write == 0 {
 		t.Fatal("a grant is answered before it is on disk")
 	}
 	if _, again := v.HandleRequest(request, lease); again == 0 {
@@ -27,7 +27,7 @@
 		t.Fatal("an earlier write counts for a later one")
 	}
 	v.MarkDurable(write)
-	if response, again := v.HandleRequest(request, lease); !response.OK || again != 0 {
+	if response, again := v.HandleRequest(request, lease); !response.Granted || again != 0 {
 		t.Fatal("a renewal needs the disk")
 	}
 }
--- a/internal/lodge/beats.go
+++ b/internal/lodge/beats.go
@@ -135,7 +135,7 @@
 					h.onHeartbeat(say)
 					h.onRenewals(bid, say, sent)
 				})
-				h.host.view.Submit(func() { h.host.way.Add(peersampling.Node{Name: say.ID, IP: say.IP, Hut: true}) })
+				h.host.view.Submit(func() { h.host.way.Add(peersampling.Node{Name: say.ID, IP: say.IP, IsControl: true}) })
 			}
 		}()
 	}
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -189,14 +189,14 @@
 	if g, write := h.grantLease(b, now); write == 0 {
 		h.pollLease.OnResponse(b, g, now, now)
 	}
-	return b, map[string]LeaseRenewal{b.Duty: {b.Epoch, b.Life, b.VotersSlot}}
+	return b, map[string]LeaseRenewal{b.Role: {b.Epoch, b.Incarnation, b.VotersSlot}}
 }
 
 // grantRenewals answers the renewals of a beat: those that need no write are granted,
 // the others must be bid for. It runs on the desk.
 func (h *ControlServer) grantRenewals(m Heartbeat) (granted []string) {
 	for duty, r := range m.Renews {
-		if g, write := h.grantLease(lease.Request{Duty: duty, Epoch: r.Epoch, Holder: m.ID, Life: r.Life, VotersSlot: r.VotersSlot}, h.host.steady()); g.OK && write == 0 {
+		if g, write := h.grantLease(lease.Request{Role: duty, Epoch: r.Epoch, Holder: m.ID, Incarnation: r.Life, VotersSlot: r.VotersSlot}, h.host.steady()); g.Granted && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
@@ -205,8 +205,8 @@
 
 // onRenewals takes the answer to renewals sent then; it runs on the desk.
 func (h *ControlServer) onRenewals(b lease.Request, say Heartbeat, sent time.Duration) {
-	if b.Epoch > 0 && slices.Contains(say.Granted, b.Duty) {
-		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, OK: true}, sent, h.host.steady())
+	if b.Epoch > 0 && slices.Contains(say.Granted, b.Role) {
+		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, Granted: true}, sent, h.host.steady())
 	}
 }
 
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -46,7 +46,7 @@
 		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.leaving.Load()}
 		for _, v := range h.acceptor.State.Voters {
 			if v.ID != h.acceptor.ID && h.detector.SilentFor(v.ID, now) > h.replacementTimeout() {
-				say.Silent = append(say.Silent, v.ID)
+				say.Suspected = append(say.Suspected, v.ID)
 			}
 		}
 	})
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -151,7 +151,7 @@
 	}()
 	defer func() { close(stop); <-deaf }()
 	w.run(4, false, 1)
-	w.eventually("hut 1 calls hut 3 silent", func() bool { return len(h.memberReport().Silent) == 1 })
+	w.eventually("hut 1 calls hut 3 silent", func() bool { return len(h.memberReport().Suspected) == 1 })
 	w.eventually("the newcomer is caught up", func() bool { return w.hut(4).State().Version == 3 })
 	say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()})
 	time.Sleep(700 * time.Millisecond)
@@ -367,7 +367,7 @@
 	w.hut(4).store.Close(time.Second)
 	w.stop("3")
 	w.eventually("the lost one's place is free", func() bool {
-		return len(h.memberReport().Silent) == 1 && len(w.hut(2).memberReport().Silent) == 1
+		return len(h.memberReport().Suspected) == 1 && len(w.hut(2).memberReport().Suspected) == 1
 	})
 	if say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()}); say.Votes || w.votes(1, 4) || w.votes(2, 4) {
 		t.Fatal("a vote for one whose disk takes nothing")
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -89,7 +89,7 @@
 	n.view = commandloop.New()
 	n.unheard = unheard{}
 	n.vigil.Gap = time.Duration(float64(patience(s.Bounds.AcknowledgeMs, 0)) * stillPart)
-	n.way = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, Hut: s.HasDisk() && options.Role != RoleCache}, 8, 3)
+	n.way = peersampling.NewView(peersampling.Node{Name: s.NodeName, IP: s.IpAddress, Zone: s.Zone, IsControl: s.HasDisk() && options.Role != RoleCache}, 8, 3)
 	var err error
 	keeps := options.Role == RoleCache
 	if s.HasDisk() && !keeps {
@@ -288,7 +288,7 @@
 		n.view.Call(func() {
 			for _, ip := range n.set().SeedIPs() {
 				if ip != n.set().IpAddress && len(n.way.Nodes()) == 0 {
-					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, Hut: true})
+					n.way.Add(peersampling.Node{Name: "seed-" + ip, IP: ip, IsControl: true})
 				}
 			}
 			partner, offer, ok = n.way.BeginShuffle()
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -410,7 +410,9 @@
 		t.locatedControl.Store(true)
 		t.pickWatchTargets()
 		for _, h := range say.Huts {
-			t.host.view.Submit(func() { t.host.way.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, Hut: true}) })
+			t.host.view.Submit(func() {
+				t.host.way.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, IsControl: true})
+			})
 		}
 	}
 	if say.Roster != nil {
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -12,8 +12,8 @@
 	Slot int64  `json:"Slot"`
 	// Leaving: it ends in order.
 	Leaving bool `json:"Leaving,omitempty"`
-	// Silent are the voters that it has not heard for long.
-	Silent []string `json:"Silent,omitempty"`
+	// Suspected are the voters that it has not heard for long.
+	Suspected []string `json:"Silent,omitempty"`
 }
 
 // Admission is the request of a newcomer to become a voter, with the evidence
@@ -143,12 +143,12 @@
 // isSilent tells whether a voter did not answer and a majority, the evaluating
 // voter among it, has not heard it for long.
 func (a Admission) isSilent(v consensus.Voter, reports map[string]Report) bool {
-	if _, answered := reports[v.ID]; answered || !slices.Contains(reports[a.Self].Silent, v.ID) {
+	if _, answered := reports[v.ID]; answered || !slices.Contains(reports[a.Self].Suspected, v.ID) {
 		return false
 	}
 	suspecting := 0
 	for _, r := range reports {
-		if slices.Contains(r.Silent, v.ID) {
+		if slices.Contains(r.Suspected, v.ID) {
 			suspecting++
 		}
 	}
--- a/internal/membership/admission_test.go
+++ b/internal/membership/admission_test.go
@@ -23,7 +23,7 @@
 	for _, id := range ids {
 		r := Report{ID: id, Slot: 7}
 		if silent != "" {
-			r.Silent = []string{silent}
+			r.Suspected = []string{silent}
 		}
 		reports = append(reports, r)
 	}
--- a/internal/peersampling/view.go
+++ b/internal/peersampling/view.go
@@ -11,9 +11,9 @@
 	Name string `json:"Name"`
 	IP   string `json:"IP"`
 	Zone string `json:"Zone"`
-	// Hut tells whether the node keeps state.
-	Hut bool `json:"Hut,omitempty"`
-	Age int  `json:"Age"`
+	// IsControl tells whether the node keeps state.
+	IsControl bool `json:"Hut,omitempty"`
+	Age       int  `json:"Age"`
 }
 
 // View is one node's partial view of the others. It holds at most one entry by
@@ -45,7 +45,7 @@
 	slices.SortStableFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Age, b.Age) })
 	var ips []string
 	for _, n := range nodes {
-		if n.Hut {
+		if n.IsControl {
 			ips = append(ips, n.IP)
 		}
 	}
--- a/internal/peersampling/view_test.go
+++ b/internal/peersampling/view_test.go
@@ -23,8 +23,8 @@
 	for i := range testNodes {
 		ip := fmt.Sprintf("10.0.0.%d", i)
 		o.ips = append(o.ips, ip)
-		o.views[ip] = NewView(Node{Name: ip, IP: ip, Hut: i < testControlNodes}, testCapacity, testShuffleLength)
-		o.views[ip].Add(Node{Name: "seed", IP: "10.0.0.0", Hut: true})
+		o.views[ip] = NewView(Node{Name: ip, IP: ip, IsControl: i < testControlNodes}, testCapacity, testShuffleLength)
+		o.views[ip].Add(Node{Name: "seed", IP: "10.0.0.0", IsControl: true})
 	}
 	return o
 }
@@ -93,9 +93,9 @@
 
 func TestControlIPsYoungestFirst(t *testing.T) {
 	v := NewView(Node{IP: "self"}, 4, 2)
-	v.Add(Node{IP: "a", Hut: true, Age: 2})
+	v.Add(Node{IP: "a", IsControl: true, Age: 2})
 	v.Add(Node{IP: "b", Age: 0})
-	v.Add(Node{IP: "c", Hut: true, Age: 1})
+	v.Add(Node{IP: "c", IsControl: true, Age: 1})
 	if got := fmt.Sprint(v.ControlIPs()); got != "[c a]" {
 		t.Fatalf("control nodes %s, want [c a]", got)
 	}
