--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -73,7 +73,7 @@
 		for range 9 {
 			number++
 			payload := make([]byte, 100_000)
-			rand.NewChaCha8([32]byte{byte(number)}).Read(payload)
+			_, _ = rand.NewChaCha8([32]byte{byte(number)}).Read(payload)
 			if err := putNumbered(s, number, payload); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -271,8 +271,7 @@
 		}
 		if start == 1 {
 			failEngine(s)
-			for deadline := time.Now().Add(5 * time.Second); put(t, s, "other", "2") != nil && time.Now().Before(deadline); {
-			}
+			putUntilAccepted(t, s, "other", "2", 5*time.Second)
 		}
 		s.Close(time.Second)
 		s = openTestStore(t, disk)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -96,12 +96,12 @@
 	defer protocol.ReleaseResponse(parsed)
 	request := appendRequest(addr, method, path, headers, body)
 	if _, err := conn.Exchange(request, deadline, false, c.maxBodyBytes, parsed); err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return Response{}, err
 	}
 	response := copyResponse(parsed)
 	if parsed.ConnectionClose() || conn.HasUnsolicited() {
-		conn.Close()
+		_ = conn.Close()
 	} else {
 		c.putIdle(addr, conn, time.Now())
 	}
@@ -143,7 +143,7 @@
 		if now.Sub(conn.IdleSince) < c.idleTimeout && conn.Reusable() {
 			return conn
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 }
 
@@ -153,7 +153,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[addr]) >= c.maxIdlePerNode {
-		conn.Close()
+		_ = conn.Close()
 		return
 	}
 	c.idle[addr] = append(c.idle[addr], conn)
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -55,7 +55,7 @@
 }
 
 func (l *killableListener) kill() {
-	_ = l.Listener.Close()
+	_ = l.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.conns {
--- a/internal/transport/tracker_test.go
+++ b/internal/transport/tracker_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	_, _ = io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	in := bufio.NewReader(conn)
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 	_, _ = io.WriteString(conn, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
 	in := bufio.NewReader(conn)
