--- a/internal/endpoints/delta.go
+++ b/internal/endpoints/delta.go
@@ -15,19 +15,22 @@
 	// Upserts holds the endpoints that were added, or changed in another way than
 	// those below.
 	Upserts []Endpoint `json:"Set,omitempty"`
-	// Draining and Warm are the numbers of endpoints that began to drain, or
-	// ended their slow start, and changed in no other way.
+	// Draining and WarmedUp are the ordinals of endpoints that began to drain,
+	// or are no longer warming up, and changed in no other way.
 	Draining []int64 `json:"Drains,omitempty"`
 	WarmedUp []int64 `json:"Warm,omitempty"`
-	// Removed are the numbers of the endpoints that were removed.
+	// Removed holds the ordinals of the endpoints that were removed.
 	Removed []int64 `json:"Gone,omitempty"`
-	// InitialVersions holds the entries of Table.First that were added.
+	// InitialVersions holds the entries of Table.InitialVersions that were added.
 	InitialVersions map[string]string `json:"First,omitempty"`
 }
 
 // Diff computes the delta between two tables, or a snapshot of to where from is
 // nil. The tables must be of one history, where to was made of from by
 // NextTable in one or more steps.
+//
+// TODO: an endpoint that both begins to drain and is warming up again is taken
+// for one that only drains.
 func Diff(from, to *Table) *Delta {
 	if from == nil {
 		from = &Table{}
@@ -46,8 +49,8 @@
 		}
 		d.addChange(before, e)
 	}
-	for number := range removed {
-		d.Removed = append(d.Removed, number)
+	for ordinal := range removed {
+		d.Removed = append(d.Removed, ordinal)
 	}
 	slices.Sort(d.Removed)
 	for service, version := range to.InitialVersions {
@@ -68,17 +71,17 @@
 	if before == after {
 		return
 	}
-	drains := !before.Draining && after.Draining
-	warm := before.WarmingUp && !after.WarmingUp
+	draining := !before.Draining && after.Draining
+	warmedUp := before.WarmingUp && !after.WarmingUp
 	before.Draining, before.WarmingUp = after.Draining, after.WarmingUp
-	if before != after || !drains && !warm {
+	if before != after || !draining && !warmedUp {
 		d.Upserts = append(d.Upserts, after)
 		return
 	}
-	if drains {
+	if draining {
 		d.Draining = append(d.Draining, after.Ordinal)
 	}
-	if warm {
+	if warmedUp {
 		d.WarmedUp = append(d.WarmedUp, after.Ordinal)
 	}
 }
@@ -98,34 +101,34 @@
 		next.InitialVersions = map[string]string{}
 	}
 	maps.Copy(next.InitialVersions, d.InitialVersions)
-	set := make(map[int64]Endpoint, len(d.Upserts))
+	upserts := make(map[int64]Endpoint, len(d.Upserts))
 	for _, e := range d.Upserts {
-		set[e.Ordinal] = e
+		upserts[e.Ordinal] = e
 	}
-	drains, warm, gone := numberSet(d.Draining), numberSet(d.WarmedUp), numberSet(d.Removed)
+	draining, warmedUp, removed := ordinalSet(d.Draining), ordinalSet(d.WarmedUp), ordinalSet(d.Removed)
 	for _, e := range t.Endpoints {
-		if gone[e.Ordinal] {
+		if removed[e.Ordinal] {
 			continue
 		}
-		if changed, ok := set[e.Ordinal]; ok {
+		if changed, ok := upserts[e.Ordinal]; ok {
 			e = changed
-			delete(set, e.Ordinal)
+			delete(upserts, e.Ordinal)
 		}
-		e.Draining = e.Draining || drains[e.Ordinal]
-		e.WarmingUp = e.WarmingUp && !warm[e.Ordinal]
+		e.Draining = e.Draining || draining[e.Ordinal]
+		e.WarmingUp = e.WarmingUp && !warmedUp[e.Ordinal]
 		next.Endpoints = append(next.Endpoints, e)
 	}
-	for _, e := range set {
+	for _, e := range upserts {
 		next.Endpoints = append(next.Endpoints, e)
 	}
 	sortByID(next.Endpoints)
 	return next
 }
 
-func numberSet(numbers []int64) map[int64]bool {
-	set := make(map[int64]bool, len(numbers))
-	for _, n := range numbers {
-		set[n] = true
+func ordinalSet(ordinals []int64) map[int64]bool {
+	set := make(map[int64]bool, len(ordinals))
+	for _, ordinal := range ordinals {
+		set[ordinal] = true
 	}
 	return set
 }
--- a/internal/endpoints/delta_test.go
+++ b/internal/endpoints/delta_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Flags that change travel as numbers alone, and a delta applies to the table
+// Flags that change travel as ordinals alone, and a delta applies to the table
 // that it was computed from and to no other.
 func TestDiff(t *testing.T) {
 	a, _ := NextTable(nil, []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e", WarmingUp: true}, {ID: "f"}}, Stamp{Epoch: 1, Sequence: 1})
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -19,13 +19,13 @@
 	Version string `json:"Version,omitempty"`
 	// Slots is the number of requests that it runs at the same time.
 	Slots int `json:"Slots,omitempty"`
-	// Draining: it shuts down gracefully and gets no new requests.
+	// Draining says that it shuts down gracefully and gets no new requests.
 	Draining bool `json:"Drains,omitempty"`
-	// WarmingUp: it is in slow start.
+	// WarmingUp says that it started a short while ago and is still slow.
 	WarmingUp bool `json:"Cold,omitempty"`
-	// Ordinal numbers the endpoints in the order in which they were first listed.
-	// No number is given twice. It stands for the endpoint in deltas and
-	// messages, and earlier endpoints are preferred for slots.
+	// Ordinal numbers the endpoints in the order in which they were first
+	// listed, from 1. No later table gives it to another endpoint. It stands for
+	// the endpoint in deltas and messages, and slots prefer lower ordinals.
 	Ordinal int64 `json:"Entry"`
 }
 
@@ -33,11 +33,11 @@
 // immutable once made.
 type Table struct {
 	Stamp Stamp `json:"Stamp"`
-	// NextOrdinal is the number that the next new endpoint gets.
+	// NextOrdinal is the ordinal that the next new endpoint gets.
 	NextOrdinal int64      `json:"NextEntry"`
 	Endpoints   []Endpoint `json:"Searchers"`
-	// InitialVersions is the software version that each service had when it was first
-	// listed. It stays in force until a rollout replaces it.
+	// InitialVersions maps each service to the software version that it had
+	// when it was first listed. That stays in force until a rollout replaces it.
 	InitialVersions map[string]string `json:"First,omitempty"`
 }
 
@@ -54,9 +54,9 @@
 }
 
 // NextTable makes the table that follows old, which may be nil, of a listing
-// by the platform. Endpoints that are known keep their number, new ones get
-// the next numbers in the order of their IDs. It also reports whether anything
-// but the stamp changed.
+// by the platform. Endpoints that are known keep their ordinal, new ones get
+// the next ordinals in the order of their IDs. It also reports whether any
+// endpoint changed.
 func NextTable(old *Table, list []Endpoint, stamp Stamp) (*Table, bool) {
 	if old == nil {
 		t := &Table{Stamp: stamp, NextOrdinal: 1, InitialVersions: map[string]string{}}
@@ -92,13 +92,13 @@
 		e.Ordinal = t.NextOrdinal
 		t.NextOrdinal++
 	}
-	t.recordFirstVersions()
+	t.recordInitialVersions()
 }
 
-// recordFirstVersions notes the version of every service that was never listed
+// recordInitialVersions notes the version of every service that was never listed
 // before. Where its endpoints differ, it is the version of most of them, and
 // of those that tie the lowest.
-func (t *Table) recordFirstVersions() {
+func (t *Table) recordInitialVersions() {
 	counts := map[string]map[string]int{}
 	for _, e := range t.Endpoints {
 		if e.Version == "" || t.InitialVersions[e.Service] != "" {
--- a/internal/endpoints/table_test.go
+++ b/internal/endpoints/table_test.go
@@ -16,7 +16,7 @@
 	}
 	second, changed := NextTable(first, []Endpoint{{ID: "a", Service: "s", Draining: true}, {ID: "0", Service: "s"}}, Stamp{1, "h", 2})
 	if !changed || second.Endpoints[0].Ordinal != 3 || second.Endpoints[1].Ordinal != 1 {
-		t.Fatalf("numbers changed: %+v", second)
+		t.Fatalf("ordinals changed: %+v", second)
 	}
 	third, _ := NextTable(second, list, Stamp{2, "g", 1})
 	if !third.Endpoints[0].Draining {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestNextTableRecordsFirstVersions(t *testing.T) {
+func TestNextTableRecordsInitialVersions(t *testing.T) {
 	first, _ := NextTable(nil, []Endpoint{
 		{ID: "a", Service: "majority", Version: "v2"},
 		{ID: "b", Service: "majority", Version: "v2"},
