--- a/internal/lease/voter.go
+++ b/internal/lease/voter.go
@@ -5,47 +5,6 @@
 	"time"
 )
 
-// epochsPerVoterSet is how many epochs one set of voters can grant. The set's slot
-// is the epoch's upper part, so that whatever an earlier set granted is lower,
-// also where the voters that knew it are gone.
-const epochsPerVoterSet = 1 << 24
-
-func firstEpoch(votersSlot int64) int64 { return votersSlot*epochsPerVoterSet + 1 }
-
-func votersSlotOf(epoch int64) int64 { return epoch / epochsPerVoterSet }
-
-// Record is what a voter keeps on disk of a duty: the highest epoch that it
-// granted, and to which life of which holder.
-type Record struct {
-	Epoch       int64  `json:"Epoch"`
-	Holder      string `json:"Holder"`
-	Incarnation int64  `json:"Life"`
-}
-
-// Request asks a voter for a duty's lease under an epoch; the same bid again
-// renews it.
-type Request struct {
-	Role   string `json:"Duty"`
-	Epoch  int64  `json:"Epoch"`
-	Holder string `json:"Holder"`
-	// Incarnation numbers the lives of the holder's process; it is on its disk.
-	Incarnation int64 `json:"Life"`
-	// VotersSlot is the slot that decided the voters that are asked.
-	VotersSlot int64 `json:"VotersSlot"`
-}
-
-func (b Request) record() Record { return Record{b.Epoch, b.Holder, b.Incarnation} }
-
-// Response is a voter's answer.
-type Response struct {
-	Voter   string `json:"Voter"`
-	Granted bool   `json:"OK"`
-	// Record is what the voter has granted. It is not a promise unless OK.
-	Record Record `json:"Record"`
-	// VotersSlot is the slot that decided the voters that this one knows.
-	VotersSlot int64 `json:"VotersSlot"`
-}
-
 // Voter grants the leases of the singleton roles as one of the voters. The
 // records of what it granted are durable; the times at which leases expire are
 // in memory only, on its own monotonic clock.
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -6,16 +6,6 @@
 	"swiftswitch/internal/consensus"
 )
 
-// Report is what a node answers to a voter that evaluates an admission.
-type Report struct {
-	ID   string `json:"ID"`
-	Slot int64  `json:"Slot"`
-	// Leaving: it ends in order.
-	Leaving bool `json:"Leaving,omitempty"`
-	// Suspected are the voters that it has not heard for long.
-	Suspected []string `json:"Silent,omitempty"`
-}
-
 // Admission is the request of a newcomer to become a voter, with the evidence
 // that the evaluating voter gathered. Evaluate decides it; the resulting set of
 // voters must still be agreed on for the slot that follows Base.
--- a/internal/peersampling/view.go
+++ b/internal/peersampling/view.go
@@ -6,16 +6,6 @@
 	"slices"
 )
 
-// Node is one entry of a view.
-type Node struct {
-	Name string `json:"Name"`
-	IP   string `json:"IP"`
-	Zone string `json:"Zone"`
-	// IsControl tells whether the node keeps state.
-	IsControl bool `json:"Hut,omitempty"`
-	Age       int  `json:"Age"`
-}
-
 // View is one node's partial view of the others. It holds at most one entry by
 // address, and none of the node itself. It is not safe for concurrent use.
 type View struct {
