--- a/internal/consensus/keeper.go
+++ b/internal/consensus/keeper.go
@@ -2,10 +2,10 @@
 
 // BallotState is the acceptor's part that changes with every round, as it goes to disk.
 type BallotState struct {
-	Slot           int64
-	Promised       Ballot
-	AcceptedBallot Ballot
-	AcceptedValue  *Value `json:",omitempty"`
+	Slot           int64  `json:"Slot"`
+	Promised       Ballot `json:"Promised"`
+	AcceptedBallot Ballot `json:"Accepted"`
+	AcceptedValue  *Value `json:"Value,omitempty"`
 }
 
 // DurableAcceptor is an acceptor with its disk. Its memory may be ahead of the disk,
--- a/internal/consensus/news.go
+++ b/internal/consensus/news.go
@@ -7,21 +7,22 @@
 // however many slots lie between, and it may be applied to any state from
 // From on.
 type StateDelta struct {
-	FromSlot, Slot int64
+	FromSlot int64 `json:"From"`
+	Slot     int64 `json:"Slot"`
 	// Voters are set where they changed after From.
-	Voters     []Voter `json:",omitempty"`
-	VotersSlot int64   `json:",omitempty"`
+	Voters     []Voter `json:"Voters,omitempty"`
+	VotersSlot int64   `json:"VotersSlot,omitempty"`
 	// Version and Body are set where they changed after From.
-	Version        int64           `json:",omitempty"`
-	Body           string          `json:",omitempty"`
-	AppliedCount   int64           `json:",omitempty"`
-	AppliedChanges []AppliedChange `json:",omitempty"`
-	PurgeSeq       int64           `json:",omitempty"`
-	Purges         []Purge         `json:",omitempty"`
+	Version        int64           `json:"Version,omitempty"`
+	Body           string          `json:"Body,omitempty"`
+	AppliedCount   int64           `json:"TakenSeq,omitempty"`
+	AppliedChanges []AppliedChange `json:"Taken,omitempty"`
+	PurgeSeq       int64           `json:"PurgeSeq,omitempty"`
+	Purges         []Purge         `json:"Purges,omitempty"`
 	// CacheNodes are few and always whole.
-	CacheNodes []CacheNode `json:",omitempty"`
-	Rollouts   []Rollout   `json:",omitempty"`
-	PastOrders []PastOrder `json:",omitempty"`
+	CacheNodes []CacheNode `json:"Larders,omitempty"`
+	Rollouts   []Rollout   `json:"Rollouts,omitempty"`
+	PastOrders []PastOrder `json:"Ordered,omitempty"`
 }
 
 // NoSlot is the slot of a node that knows of no state at all.
--- a/internal/consensus/rollout.go
+++ b/internal/consensus/rollout.go
@@ -22,24 +22,24 @@
 // searchers, and how far it is.
 type Rollout struct {
 	// OrderSlot names the order: the slot that decided it. It is 0 in a proposal of an order.
-	OrderSlot int64 `json:",omitempty"`
-	Service   string
+	OrderSlot int64  `json:"N,omitempty"`
+	Service   string `json:"Service"`
 	// FromVersion is the version in force when the order came, Target the one ordered.
-	FromVersion   string `json:",omitempty"`
-	TargetVersion string
-	DurationMs    int64
-	Phase         Phase
+	FromVersion   string `json:"From,omitempty"`
+	TargetVersion string `json:"Target"`
+	DurationMs    int64  `json:"DurationMs"`
+	Phase         Phase  `json:"Phase"`
 	// Slot decided the phase; SpentMs of the term were over by then.
-	Slot      int64 `json:",omitempty"`
-	ElapsedMs int64 `json:",omitempty"`
+	Slot      int64 `json:"Slot,omitempty"`
+	ElapsedMs int64 `json:"SpentMs,omitempty"`
 	// TrialMs is how long a trial lasts on each node.
-	TrialMs int64 `json:",omitempty"`
+	TrialMs int64 `json:"ForMs,omitempty"`
 	// TargetAttempts is how many tries of the new version were seen by then, Of how
 	// many of both versions.
-	TargetAttempts int64 `json:",omitempty"`
-	TotalAttempts  int64 `json:",omitempty"`
+	TargetAttempts int64 `json:"Asked,omitempty"`
+	TotalAttempts  int64 `json:"Of,omitempty"`
 	// Reason tells what led to the phase.
-	Reason string `json:",omitempty"`
+	Reason string `json:"Why,omitempty"`
 }
 
 // Running tells whether the order is not settled.
@@ -72,11 +72,11 @@
 // PastOrder remembers an order that was decided, to know a copy of it that was
 // long on its way.
 type PastOrder struct {
-	Service       string
-	TargetVersion string
-	DurationMs    int64
+	Service       string `json:"Service"`
+	TargetVersion string `json:"Target"`
+	DurationMs    int64  `json:"DurationMs"`
 	// Slot decided it.
-	Slot int64
+	Slot int64 `json:"Slot"`
 }
 
 // orderedEach bounds how many orders of one service are remembered,
