--- a/examples/hollow/main.go
+++ b/examples/hollow/main.go
@@ -146,7 +146,7 @@
 		if resp, err := http.Post("http://"+*address+"/drain", "", nil); err != nil {
 			log.Fatal(err)
 		} else {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 		wait("the draining everywhere", begun, func() bool {
 			_, now := h.Newest()
@@ -207,7 +207,7 @@
 			continue
 		}
 		raw, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		if resp.StatusCode == 200 {
 			return next
 		}
--- a/examples/standin/main.go
+++ b/examples/standin/main.go
@@ -43,12 +43,12 @@
 		w.Header().Set("Swiftswitch-Server-Stamp", fmt.Sprintf("%s.%s.%d", id, asked, runs.Add(1)))
 		if !shard {
 			w.Header().Set("Swiftswitch-Request-Id", asked)
-			fmt.Fprintf(w, "%s answers %s\n", service, r.URL.Path)
+			_, _ = fmt.Fprintf(w, "%s answers %s\n", service, r.URL.Path) // a caller that left needs no answer
 			return
 		}
 		for i := range 5 {
 			sum := sha256.Sum256(fmt.Appendf(nil, "%s %d", service, i))
-			fmt.Fprintf(w, "%016x", sum[:8])
+			_, _ = fmt.Fprintf(w, "%016x", sum[:8]) // a caller that left needs no answer
 		}
 	})
 }
--- a/internal/cairn/trace_test.go
+++ b/internal/cairn/trace_test.go
@@ -146,7 +146,6 @@
 			to  string
 		}
 		var air []flight
-		var props []*Proposer
 		send := func(p *Proposer) {
 			for _, id := range ids {
 				air = append(air, flight{p, p.Stage, p.Ask(), id})
@@ -157,7 +156,6 @@
 				at := w.accs[ids[r.IntN(5)]]
 				w.n++
 				p := NewProposer(at.State, Ballot{N: w.n + int64(r.IntN(3)), By: at.ID}, &Value{Version: w.n + 1000, Base: at.State.Version})
-				props = append(props, p)
 				send(p)
 			}
 			if len(air) == 0 {
--- a/internal/cellar/cellar_test.go
+++ b/internal/cellar/cellar_test.go
@@ -129,8 +129,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = f.WriteString(tail)
-			f.Close()
+			if _, err = f.WriteString(tail); err != nil {
+				t.Fatal(err)
+			}
+			if err = f.Close(); err != nil {
+				t.Fatal(err)
+			}
 		}
 		if c, err = Open(after, time.Second, time.Second); err != nil {
 			t.Fatal(err)
--- a/internal/cellar/loss_test.go
+++ b/internal/cellar/loss_test.go
@@ -196,7 +196,7 @@
 		for range 9 {
 			no++
 			big := make([]byte, 100_000)
-			rand.NewChaCha8([32]byte{byte(no)}).Read(big)
+			_, _ = rand.NewChaCha8([32]byte{byte(no)}).Read(big) // never fails
 			done := make(chan error, 1)
 			c.PutAll(map[string][]byte{"no": fmt.Append(nil, no), "big": append(fmt.Append(nil, no, " "), big...)}, func(err error) { done <- err })
 			if err := <-done; err != nil {
--- a/internal/gather/legs_test.go
+++ b/internal/gather/legs_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -87,7 +87,7 @@
 
 // answer serves one connection with a part of 20 records for each request.
 func answer(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	body := strings.Repeat("0123456789abcdef", 20)
 	for k := 0; ; k++ {
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -92,10 +92,10 @@
 	for _, n := range h.nodes {
 		close(n.stop)
 		for _, l := range n.sockets {
-			l.Close()
+			_ = l.Close()
 		}
 		if l := n.trail.ln.Load(); l != nil {
-			(*l).Close()
+			_ = (*l).Close()
 		}
 	}
 	time.Sleep(10 * time.Millisecond)
--- a/internal/lodge/larder_test.go
+++ b/internal/lodge/larder_test.go
@@ -21,7 +21,7 @@
 		return 0
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	return resp.StatusCode
 }
 
@@ -64,7 +64,7 @@
 				return
 			}
 			body, _ := io.ReadAll(resp.Body)
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode != 200 || string(body) != "/c/x version 1" || resp.Header.Get("Swiftswitch-Server-Stamp") == "" || resp.Header.Get("Swiftswitch-Request-Id") != fmt.Sprint("m", i) {
 				t.Errorf("%d %q %v", resp.StatusCode, body, resp.Header)
 			}
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -77,6 +77,6 @@
 	}
 	close(n.stop)
 	for _, ln := range n.sockets {
-		ln.Close()
+		_ = ln.Close()
 	}
 }
--- a/internal/lodge/lodge_test.go
+++ b/internal/lodge/lodge_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return false
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	return resp.StatusCode == 200
 }
 
@@ -102,9 +102,9 @@
 			t.Fatal(err)
 		}
 		_ = c.SetDeadline(time.Now().Add(2 * time.Second))
-		fmt.Fprint(c, raw)
+		_, _ = fmt.Fprint(c, raw)
 		got, _ := io.ReadAll(c)
-		c.Close()
+		_ = c.Close()
 		if !strings.HasPrefix(string(got), "HTTP/1.1 400") || strings.Count(string(got), "HTTP/1.1") != 1 {
 			t.Errorf("%q got %q", raw, got)
 		}
@@ -122,10 +122,10 @@
 			t.Fatal(err)
 		}
 		_ = c.SetDeadline(time.Now().Add(8 * time.Second))
-		fmt.Fprint(c, raw)
+		_, _ = fmt.Fprint(c, raw)
 		at := time.Now()
 		_, err = io.Copy(io.Discard, c)
-		c.Close()
+		_ = c.Close()
 		if took := time.Since(at); err != nil || took < within[0] || took > within[1] {
 			t.Errorf("%q was cut off after %v: %v", raw, took, err)
 		}
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -99,7 +99,7 @@
 			return false
 		}
 		var v int64
-		fmt.Sscanf(body, `{"Version":%d`, &v)
+		_, _ = fmt.Sscanf(body, `{"Version":%d`, &v) // a body without a version counts as 0
 		if v < newest {
 			t.Fatalf("version %d, acknowledged was %d", v, newest)
 		}
@@ -219,7 +219,7 @@
 			if err != nil {
 				continue
 			}
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == 503 && n.hut.closing.Load() {
 				refused, retry = refused+1, resp.Header.Get("Retry-After")
 			} else {
--- a/internal/lodge/pack.go
+++ b/internal/lodge/pack.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer z.Close()
+	defer func() { _ = z.Close() }() // EncodeAll leaves nothing to flush
 	return z.EncodeAll([]byte(raw), nil), nil
 }
 
--- a/internal/lodge/patience_test.go
+++ b/internal/lodge/patience_test.go
@@ -99,7 +99,7 @@
 	}
 	srv := &http.Server{Handler: handle}
 	go func() { _ = srv.Serve(l) }()
-	w.t.Cleanup(func() { srv.Close() })
+	w.t.Cleanup(func() { _ = srv.Close() })
 }
 
 // gateway is a front that only takes calls, and knows of huts 9 and 8.
@@ -129,7 +129,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	return resp.StatusCode, resp.Header
 }
 
@@ -370,7 +370,7 @@
 		}
 		var say struct{ Error string }
 		_ = json.NewDecoder(resp.Body).Decode(&say)
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		if resp.StatusCode != 412 || resp.Header.Get("ETag") != want || !strings.Contains(say.Error, "version "+want) {
 			t.Errorf("on top of %s: %d, ETag %q, %q", match, resp.StatusCode, resp.Header.Get("ETag"), say.Error)
 		}
--- a/internal/lodge/rollout_test.go
+++ b/internal/lodge/rollout_test.go
@@ -97,7 +97,7 @@
 	// The old searchers end at once.
 	for _, id := range []string{"plain-a", "plain-b"} {
 		s[id].srv.CloseClientConnections()
-		s[id].srv.Listener.Close()
+		_ = s[id].srv.Listener.Close()
 		w.mark(id, "draining")
 	}
 	before := failed()
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -75,15 +75,15 @@
 		time.Sleep(700 * time.Millisecond)
 	case "cut":
 		c, _, _ := w.(http.Hijacker).Hijack()
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: %s\r\nContent-Length: 80\r\n\r\nshort", stamp)
-		c.Close()
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: %s\r\nContent-Length: 80\r\n\r\nshort", stamp)
+		_ = c.Close()
 		return
 	case "surplus":
 		c, _, _ := w.(http.Hijacker).Hijack()
 		b := records(s.service)
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: %s\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: old\r\nContent-Length: 0\r\n\r\n", stamp, len(b), b)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: %s\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: old\r\nContent-Length: 0\r\n\r\n", stamp, len(b), b)
 		time.Sleep(50 * time.Millisecond)
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	s.mu.Lock()
@@ -97,7 +97,7 @@
 			w.WriteHeader(304)
 			return
 		}
-		fmt.Fprintf(w, "%s version %d", r.URL.Path, object)
+		_, _ = fmt.Fprintf(w, "%s version %d", r.URL.Path, object)
 		return
 	}
 	w.Header().Set("X-Kept", "1")
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	w.port = l.Addr().(*net.TCPAddr).Port
-	l.Close()
+	_ = l.Close()
 	w.platform = httptest.NewServer(http.HandlerFunc(w.instances))
 	t.Cleanup(func() {
 		for name := range w.nodes {
@@ -155,7 +155,7 @@
 	}
 	sort.Strings(ids)
 	from := 0
-	fmt.Sscanf(r.URL.Query().Get("PageToken"), "p-%d", &from)
+	_, _ = fmt.Sscanf(r.URL.Query().Get("PageToken"), "p-%d", &from) // without a token the list begins at 0
 	page := map[string]any{"NextPageToken": nil}
 	var out []map[string]any
 	for i := from; i < len(ids) && i < from+3; i++ {
@@ -254,11 +254,11 @@
 	delete(w.nodes, name)
 	close(n.stop)
 	for _, l := range n.sockets {
-		l.Close()
+		_ = l.Close()
 	}
 	if n.trail != nil {
 		if l := n.trail.ln.Load(); l != nil {
-			(*l).Close()
+			_ = (*l).Close()
 		}
 	}
 	if n.hut != nil {
@@ -314,7 +314,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	b, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(b)
 }
@@ -343,7 +343,7 @@
 	if err != nil {
 		return &http.Response{StatusCode: 0, Header: http.Header{}}, []byte(err.Error()), id
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	b, _ := io.ReadAll(resp.Body)
 	return resp, b, id
 }
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -651,7 +651,7 @@
 	t.head.Leave()
 	time.Sleep(time.Until(start.Add(grace / 2)))
 	if ln := t.ln.Load(); ln != nil {
-		(*ln).Close()
+		_ = (*ln).Close()
 	}
 	// Connections at rest are ended unread; the others end with their answer.
 	t.gate.Shut()
--- a/internal/rope/client.go
+++ b/internal/rope/client.go
@@ -45,7 +45,7 @@
 		if now.Sub(cn.IdleSince) < c.idleFor && cn.Quiet() {
 			return cn
 		}
-		cn.Close()
+		_ = cn.Close()
 	}
 }
 
@@ -54,7 +54,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[addr]) >= c.keep {
-		cn.Close()
+		_ = cn.Close()
 		return
 	}
 	c.idle[addr] = append(c.idle[addr], cn)
@@ -93,7 +93,7 @@
 	out := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(out)
 	if _, err := cn.Exchange(b, deadline, false, c.maxBody, out); err != nil {
-		cn.Close()
+		_ = cn.Close()
 		return Reply{}, err
 	}
 	rep := Reply{Status: out.StatusCode(), Body: append([]byte(nil), out.Body()...)}
@@ -101,7 +101,7 @@
 	out.Header.VisitAll(func(k, v []byte) { hdr[string(k)] = string(v) })
 	rep.Header = func(name string) string { return hdr[name] }
 	if out.ConnectionClose() || cn.Surplus() {
-		cn.Close()
+		_ = cn.Close()
 	} else {
 		c.put(addr, cn, time.Now())
 	}
--- a/internal/rope/rope_test.go
+++ b/internal/rope/rope_test.go
@@ -41,7 +41,7 @@
 			Answer(c, 200, make([]byte, in.Size))
 		}
 	})
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	c := NewClient(2, time.Second, time.Second, 1<<20)
 	for i := 0; i < 40; i++ {
 		var out []byte
@@ -83,11 +83,11 @@
 }
 
 func (d *dying) die() {
-	d.Listener.Close()
+	_ = d.Listener.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -149,7 +149,7 @@
 	if !ok {
 		t.Fatal("no listener")
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	gate := &Gate{}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
 	Serve(ln, Listener{MaxHeader: 1 << 16, MaxBody: 1 << 20, UserTimeout: time.Second, Limits: limits, Gate: gate}, func(_ context.Context, c *app.RequestContext) {
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
 	_, _ = io.WriteString(c, "POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	in := bufio.NewReader(c)
--- a/internal/signpost/configuration.go
+++ b/internal/signpost/configuration.go
@@ -78,6 +78,7 @@
 
 func (c *Configuration) check() error {
 	if c.Version <= 0 {
+		//lint:ignore ST1005 Version is the field's name in the configuration
 		return errors.New("Version must be above 0")
 	}
 	services := map[string]bool{}
@@ -104,6 +105,7 @@
 		seen[key] = true
 	}
 	if l := c.Limits; l != nil && (l.HeaderSizeBytes < 0 || l.BodySizeBytes < 0 || l.HeaderTimeoutMs < 0 || l.IdleTimeoutMs < 0) {
+		//lint:ignore ST1005 Limits is the field's name in the configuration
 		return errors.New("Limits must not be negative")
 	}
 	return nil
--- a/internal/signpost/patch.go
+++ b/internal/signpost/patch.go
@@ -30,6 +30,7 @@
 		return nil, errors.New("more follows the change")
 	}
 	if p.Version <= 0 {
+		//lint:ignore ST1005 Version is the field's name in the configuration
 		return nil, errors.New("Version must be above 0")
 	}
 	for list, items := range p.SetItems {
--- a/internal/trailhead/answers_test.go
+++ b/internal/trailhead/answers_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	o := &origin{addr: ln.Addr().String(), reply: reply}
 	go func() {
 		for {
@@ -53,7 +53,7 @@
 }
 
 func (o *origin) serve(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	for in := bufio.NewReader(c); ; {
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -134,7 +134,7 @@
 	}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
 	srv := rope.Serve(ln, rope.Listener{MaxHeader: 1 << 14, MaxBody: 1 << 22, UserTimeout: time.Second, Limits: limits}, h.Handle)
-	t.Cleanup(func() { srv.Close(); ln.Close(); pool.Release() })
+	t.Cleanup(func() { _ = srv.Close(); _ = ln.Close(); pool.Release() })
 	return ln.Addr().String(), h
 }
 
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	go func() { _, _ = io.WriteString(c, raw) }()
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	in := bufio.NewReader(c)
@@ -251,13 +251,13 @@
 // promises that it has not, and none that is not a whole answer to it is a success.
 func TestUnsafeRunsOnce(t *testing.T) {
 	dead, _ := net.Listen("tcp4", "127.0.0.1:0")
-	dead.Close()
+	_ = dead.Close()
 	reset := func(c net.Conn, r *http.Request) error {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return io.EOF
 	}
 	part := func(s string) func(net.Conn, *http.Request) error {
-		return func(c net.Conn, r *http.Request) error { fmt.Fprint(c, s); return io.EOF }
+		return func(c net.Conn, r *http.Request) error { _, _ = fmt.Fprint(c, s); return io.EOF }
 	}
 	notRun := "Swiftswitch-Not-Run: full"
 	for name, c := range map[string]struct {
@@ -332,7 +332,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -341,7 +341,7 @@
 			}
 			_, _ = io.ReadFull(c, make([]byte, 4096))
 			_ = c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	big := string(bytes.Repeat([]byte{'x'}, 1<<21))
--- a/internal/traverse/garble_test.go
+++ b/internal/traverse/garble_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	conns = &atomic.Int32{}
 	next := make(chan string, len(script))
 	for _, s := range script {
@@ -33,7 +33,7 @@
 			}
 			conns.Add(1)
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				r := bufio.NewReader(c)
 				for {
 					for line := ""; line != "\r\n"; {
@@ -42,10 +42,10 @@
 						}
 					}
 					now, late, _ := strings.Cut(<-next, "late:")
-					fmt.Fprint(c, now)
+					_, _ = fmt.Fprint(c, now)
 					if late != "" {
 						time.Sleep(30 * time.Millisecond)
-						fmt.Fprint(c, late)
+						_, _ = fmt.Fprint(c, late)
 					}
 				}
 			}()
--- a/internal/traverse/traverse.go
+++ b/internal/traverse/traverse.go
@@ -230,7 +230,7 @@
 	g.services = services
 	g.mu.Unlock()
 	for _, c := range shut {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -451,7 +451,7 @@
 		} else if quiet && now.Sub(c.IdleSince) < c.IdleFor {
 			return c
 		}
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -464,7 +464,7 @@
 	p.idle, p.doubtUntil = nil, now.Add(g.opt.Forget)
 	g.mu.Unlock()
 	for _, c := range shut {
-		c.Close()
+		_ = c.Close()
 	}
 	logbook.Log(logbook.SearcherGarbles, "searcher", p.ID)
 }
@@ -507,7 +507,7 @@
 		err = rope.ErrSurplus
 	}
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		protocol.ReleaseResponse(out)
 		if !sent {
 			return Outcome{Verdict: Unsent, Err: err}
@@ -523,9 +523,9 @@
 	switch {
 	case c.Surplus():
 		g.doubt(p, time.Now())
-		c.Close()
+		_ = c.Close()
 	case out.ConnectionClose():
-		c.Close()
+		_ = c.Close()
 	default:
 		g.rest(p, c, out)
 	}
@@ -590,7 +590,7 @@
 	g.mu.Lock()
 	if p.gone || c.IdleSince.Before(p.doubtUntil) {
 		g.mu.Unlock()
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
@@ -707,7 +707,7 @@
 	}
 	g.mu.Unlock()
 	for _, c := range shut {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
