--- a/internal/consensus/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -146,6 +146,7 @@
 			to  string
 		}
 		var air []flight
+		var props []*Proposer
 		send := func(p *Proposer) {
 			for _, id := range ids {
 				air = append(air, flight{p, p.Stage, p.Request(), id})
