--- a/internal/lodge/agree.go
+++ b/internal/lodge/agree.go
@@ -44,12 +44,12 @@
 		}
 		stage, m := p.Stage, ConsensusRequest{Request: p.Request()}
 		if v := m.Value; v != nil && v.Body != "" {
-			packed, err := PackDelta(base.Body, v.Body)
+			packed, err := CompressDelta(base.Body, v.Body)
 			if err != nil {
 				events.Log(events.InvariantViolated, "pack", err)
 				panic(err)
 			}
-			m.Value, m.Packed = withoutBody(v, packed), packed
+			m.Value, m.Packed = WithoutBody(v, packed), packed
 		}
 		type heard struct {
 			say consensus.Response
--- a/internal/lodge/ballots.go
+++ b/internal/lodge/ballots.go
@@ -17,37 +17,6 @@
 // what they add to one that the other holds: all who may vote on a slot hold
 // the one in force before it.
 
-// ConsensusRequest is an Ask; Packed holds the body of its value.
-type ConsensusRequest struct {
-	consensus.Request
-	Packed []byte `json:"Packed,omitempty"`
-}
-
-// ConsensusResponse is a Say; Packed holds the body of its value, News stand for Ahead.
-type ConsensusResponse struct {
-	consensus.Response
-	Packed []byte      `json:"Packed,omitempty"`
-	News   *StateDelta `json:"News,omitempty"`
-}
-
-// StateDelta are cairn.News whose body is packed on top of that of version Base.
-type StateDelta struct {
-	consensus.StateDelta
-	Base   int64  `json:"Base,omitempty"`
-	Packed []byte `json:"Packed,omitempty"`
-}
-
-// withoutBody gives a value without its body, for the wire and the disk, where that
-// goes packed beside it.
-func withoutBody(v *consensus.Value, packed []byte) *consensus.Value {
-	if v == nil || packed == nil {
-		return v
-	}
-	b := *v
-	b.Body = ""
-	return &b
-}
-
 // handleConsensus lets the acceptor answer. What the answer rests on is on disk before
 // it leaves, whoever wrote it and however often that was refused.
 func (h *ControlServer) handleConsensus(m ConsensusRequest) (say ConsensusResponse, err error) {
@@ -55,7 +24,7 @@
 	h.loop.Call(func() {
 		if v := m.Value; v != nil && v.Body == "" && m.Packed != nil && m.Slot == h.acceptor.State.Slot+1 {
 			whole := *v
-			if whole.Body, err = UnpackDelta(h.acceptor.State.Body, m.Packed, h.host.MaxMessageBytes()); err != nil {
+			if whole.Body, err = DecompressDelta(h.acceptor.State.Body, m.Packed, h.host.MaxMessageBytes()); err != nil {
 				done <- err
 				return
 			}
@@ -69,7 +38,7 @@
 			h.packedValue = m.Packed
 		}
 		if say.AcceptedValue != nil {
-			say.AcceptedValue, say.Packed = withoutBody(say.AcceptedValue, h.packedValue), h.packedValue
+			say.AcceptedValue, say.Packed = WithoutBody(say.AcceptedValue, h.packedValue), h.packedValue
 		}
 		if say.NewerState != nil {
 			say.NewerState, say.News = nil, h.stateDelta(m.Slot-1)
@@ -79,8 +48,8 @@
 			return
 		}
 		b, mark := h.acceptor.BallotState()
-		b.AcceptedValue = withoutBody(b.AcceptedValue, h.packedValue)
-		h.writeRecord(recordBallot, BallotRecord{b, h.packedValue}, func(e error) {
+		b.AcceptedValue = WithoutBody(b.AcceptedValue, h.packedValue)
+		h.writeRecord(RecordBallot, BallotRecord{b, h.packedValue}, func(e error) {
 			if e == nil {
 				h.loop.Submit(func() { h.acceptor.MarkDurable(mark) })
 			}
@@ -99,7 +68,7 @@
 // whole again.
 func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Response, error) {
 	if say.AcceptedValue != nil && say.Packed != nil {
-		body, err := UnpackDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
+		body, err := DecompressDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Response, err
 		}
@@ -108,7 +77,7 @@
 		say.AcceptedValue = &whole
 	}
 	if say.News != nil {
-		n, err := say.News.unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
+		n, err := say.News.Unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Response, err
 		}
@@ -136,7 +105,7 @@
 				}
 			}
 		}
-		packed, err := PackDelta(base, n.Body)
+		packed, err := CompressDelta(base, n.Body)
 		if err != nil {
 			events.Log(events.InvariantViolated, "pack", err)
 			panic(err)
@@ -153,29 +122,12 @@
 // maxStateDeltas bounds for how many slots news are kept packed.
 const maxStateDeltas = 16
 
-// unpack gives the news whole; body finds that of a version.
-func (n *StateDelta) unpack(body func(int64) (string, bool), most int) (consensus.StateDelta, error) {
-	whole := n.StateDelta
-	if n.Packed == nil {
-		return whole, nil
-	}
-	base, ok := "", true
-	if n.Base > 0 {
-		if base, ok = body(n.Base); !ok {
-			return whole, errors.New("the news rest on a version that is not held")
-		}
-	}
-	var err error
-	whole.Body, err = UnpackDelta(base, n.Packed, most)
-	return whole, err
-}
-
 // applyStateDelta learns from another hut and tells whether the news fitted; it runs on the desk.
 func (h *ControlServer) applyStateDelta(n *StateDelta, how string) bool {
 	if n.Slot <= h.acceptor.State.Slot && len(h.acceptor.State.Voters) > 0 {
 		return true
 	}
-	whole, err := n.unpack(func(v int64) (string, bool) {
+	whole, err := n.Unpack(func(v int64) (string, bool) {
 		if v == h.acceptor.State.Version {
 			return h.acceptor.State.Body, true
 		}
--- a/internal/lodge/bring.go
+++ b/internal/lodge/bring.go
@@ -14,6 +14,10 @@
 	"swiftswitch/internal/upstream"
 )
 
+// FrontFetchShare is the part of a rate limit that the fronts share while there
+// is no cache node.
+const FrontFetchShare = 0.5
+
 // cacheNodeList is what a node knows of those that keep copies; it is never changed.
 type cacheNodeList struct {
 	list []consensus.CacheNode
@@ -45,6 +49,15 @@
 	}
 }
 
+// CacheNodes is the agreed list of cache nodes.
+func (t *FrontServer) CacheNodes() []consensus.CacheNode {
+	l := t.cacheNodes.Load()
+	if l == nil {
+		return nil
+	}
+	return l.list
+}
+
 // ListedAsCacheNode tells whether the agreed list of cache nodes holds this one.
 func (t *FrontServer) ListedAsCacheNode() bool {
 	l := t.cacheNodes.Load()
@@ -93,7 +106,7 @@
 	if len(l.list) > 0 || now < t.host.Heartbeats(4) {
 		return 0, false
 	}
-	return frontFetchShare / float64(max(1, t.frontCount.Load())), true
+	return FrontFetchShare / float64(max(1, t.frontCount.Load())), true
 }
 
 // Bring asks the larder that owns the object, or the next in line where that
@@ -140,7 +153,7 @@
 func (t *FrontServer) fetchFrom(to consensus.CacheNode, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
 	a := CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.host.Now()
-	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", PathCacheFetch, nil, Encode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", PathCacheFetch, nil, MustEncode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
 	if err != nil {
 		return frontend.Brought{}, err
 	}
--- /dev/null
+++ b/internal/lodge/data_loss_test.go
@@ -0,0 +1,64 @@
+package lodge
+
+import "testing"
+
+func TestLostDiskAndReplacedHut(t *testing.T) {
+	w, _ := Start(t)
+	if st, _ := w.PutConfiguration(1, "PUT", "3", ConfigurationBody(4, "s1", "s2")); st != 200 {
+		t.Fatal(st)
+	}
+	// Hut 1 loses its disk right after it acknowledged.
+	w.Kill("1")
+	w.DataDirs["hut-1"] = t.TempDir()
+	w.Run(1, false, 2, 3)
+	w.Eventually("the empty hut votes under a new identity", func() bool {
+		s := w.Nodes["2"].Control().State()
+		return s.IsVoter(w.Nodes["1"].Control().ID()) && len(s.Voters) == 3
+	})
+	if st, body := w.PutConfiguration(1, "GET", "", ""); st != 200 || body != ConfigurationBody(4, "s1", "s2") {
+		t.Fatalf("after a lost disk: %d %q", st, body)
+	}
+	// Hut 3 goes for good; an empty one comes at another address.
+	w.Kill("3")
+	w.Run(4, false, 1, 2)
+	w.Eventually("the new hut has the place of the one that is gone", func() bool {
+		s := w.Nodes["1"].Control().State()
+		return s.IsVoter(w.Nodes["4"].Control().ID()) && len(s.Voters) == 3
+	})
+	w.Eventually("changes go on", func() bool {
+		st, _ := w.PutConfiguration(4, "PUT", "4", ConfigurationBody(5, "s1", "s2"))
+		return st == 200
+	})
+	// A minority acknowledges nothing and does not pretend to know.
+	w.Kill("1")
+	w.Kill("2")
+	if st, _ := w.PutConfiguration(4, "PUT", "5", ConfigurationBody(6, "s1", "s2")); st == 200 {
+		t.Fatal("a minority acknowledged")
+	}
+	if st, _ := w.PutConfiguration(4, "PUT", "5", "nonsense"); st != 400 {
+		t.Fatalf("an invalid configuration in a minority: %d", st)
+	}
+	if st, _ := w.PutConfiguration(4, "GET", "", ""); st == 200 {
+		t.Fatal("a minority answered a read")
+	}
+	if r, _, _ := w.Request(11, "GET", "/g/x", ""); r.StatusCode != 200 {
+		t.Fatal("the front does not serve by the last configuration")
+	}
+	// All come back from their disks, with other seeds than at first.
+	w.Kill("4")
+	defer func() {
+		// The fronts are known to be two before either has been heard.
+		n, before := w.Nodes["2"].Control(), 0
+		n.loop.Call(func() { before = n.inheritedFrontCount })
+		if before != 2 {
+			t.Errorf("%d fronts are remembered", before)
+		}
+	}()
+	w.Run(4, false, 2)
+	w.Run(1, false, 4)
+	w.Run(2, false, 4, 1)
+	w.Eventually("the newest acknowledged version is read back", func() bool {
+		st, body := w.PutConfiguration(2, "GET", "", "")
+		return st == 200 && (body == ConfigurationBody(5, "s1", "s2") || body == ConfigurationBody(6, "s1", "s2"))
+	})
+}
--- a/internal/lodge/golden_test.go
+++ b/internal/lodge/golden_test.go
@@ -64,7 +64,7 @@
 	"order-of-rollout": config.RolloutRequest{},
 	"order-of-purge":   config.PurgeRequest{},
 	"order-of-patch":   config.Patch{},
-	"platform-page":    instancePage{},
+	"platform-page":    DiscoveryPage{},
 
 	// Messages between nodes, by path.
 	"cairn-ask":         ConsensusRequest{},
@@ -255,8 +255,8 @@
 		{PathRollouts, "/-/rollouts"},
 
 		{HeaderVersion, "Swiftswitch-Version"},
-		{headerTimeLeft, "Swiftswitch-Patience-Milliseconds"},
-		{headerForwardedBy, "Swiftswitch-Passed-On"},
+		{HeaderTimeLeft, "Swiftswitch-Patience-Milliseconds"},
+		{HeaderForwardedBy, "Swiftswitch-Passed-On"},
 		{HeaderCacheFetch, "Swiftswitch-Larder"},
 		{cache.HeaderTags, "Swiftswitch-Object-Tags"},
 		{upstream.HeaderRequestID, "Swiftswitch-Request-Id"},
@@ -269,19 +269,19 @@
 		{upstream.HeaderParts, "Swiftswitch-Part-Stamps"},
 		{upstream.HeaderMissing, "Swiftswitch-Missing-Parts"},
 
-		{recordIdentity, "identity"},
-		{recordState, "state"},
-		{recordBody, "body"},
-		{recordBallot, "ballot"},
-		{recordLeases, "leases"},
-		{recordTable, "table"},
-		{recordFronts, "fronts"},
-		{recordTerms, "terms"},
-		{recordIncarnation, "life"},
-		{recordTakenPage, "taken-%02d"},
+		{RecordIdentity, "identity"},
+		{RecordState, "state"},
+		{RecordBody, "body"},
+		{RecordBallot, "ballot"},
+		{RecordLeases, "leases"},
+		{RecordTable, "table"},
+		{RecordFrontCount, "fronts"},
+		{RecordTerms, "terms"},
+		{RecordIncarnation, "life"},
+		{RecordAppliedPage, "taken-%02d"},
 
 		// Values that are stored and sent.
-		{pollerRole, "list"},
+		{PollerRole, "list"},
 		{string(consensus.PhaseCanary), "canary"},
 		{string(consensus.PhaseTrial), "trial"},
 		{string(consensus.PhasePromote), "promote"},
@@ -294,8 +294,8 @@
 			t.Errorf("%q was %q", c.have, c.want)
 		}
 	}
-	if takenPage != 64 || takenPages != 65 || dictionary != 1 || consensus.NoSlot != -1 {
-		t.Errorf("pages of taken changes %d of %d, dictionary %d, no slot %d", takenPages, takenPage, dictionary, consensus.NoSlot)
+	if AppliedPageSize != 64 || AppliedPages != 65 || DeltaDictionaryID != 1 || consensus.NoSlot != -1 {
+		t.Errorf("pages of taken changes %d of %d, dictionary %d, no slot %d", AppliedPages, AppliedPageSize, DeltaDictionaryID, consensus.NoSlot)
 	}
 }
 
@@ -332,11 +332,11 @@
 
 func loadAll(t *testing.T, c *storage.Store) (all storedAll) {
 	t.Helper()
-	err := loadRecords(c, map[string]any{recordTerms: &all.Terms, recordIdentity: &all.Identity, recordLeases: &all.Leases, recordTable: &all.Table, recordFronts: &all.Fronts, recordIncarnation: &all.Life})
+	err := Load(c, map[string]any{RecordTerms: &all.Terms, RecordIdentity: &all.Identity, RecordLeases: &all.Leases, RecordTable: &all.Table, RecordFrontCount: &all.Fronts, RecordIncarnation: &all.Life})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all.State, all.Ballots, all.Packed, err = loadState(c, 1<<20); err != nil {
+	if all.State, all.Ballots, all.Packed, err = LoadState(c, 1<<20); err != nil {
 		t.Fatal(err)
 	}
 	return all
@@ -376,13 +376,13 @@
 		t.Errorf("loaded\n%s\nwant\n%s", got, want)
 	}
 
-	back := stateRecords(all.State, -1, 0)
+	back := StateRecords(all.State, -1, 0)
 	bare := all.Ballots
 	value := *bare.AcceptedValue
 	value.Body = "" // it stands in Packed
 	bare.AcceptedValue = &value
-	for name, v := range map[string]any{recordIdentity: all.Identity, recordIncarnation: all.Life, recordLeases: all.Leases, recordTable: all.Table, recordFronts: all.Fronts, recordTerms: all.Terms, recordBallot: BallotRecord{bare, all.Packed}} {
-		back[name] = Encode(name, v)
+	for name, v := range map[string]any{RecordIdentity: all.Identity, RecordIncarnation: all.Life, RecordLeases: all.Leases, RecordTable: all.Table, RecordFrontCount: all.Fronts, RecordTerms: all.Terms, RecordBallot: BallotRecord{bare, all.Packed}} {
+		back[name] = MustEncode(name, v)
 	}
 	sameRecords(t, before, back)
 	done := make(chan error, 1)
--- a/internal/lodge/hearsay.go
+++ b/internal/lodge/hearsay.go
@@ -11,12 +11,6 @@
 // by itself, and late, which searchers do not answer. Fronts tell the hut that
 // they watch first; what several tell, it tells all that watch it.
 
-// UnreachableReport is what a front tells: the entries of searchers that did not answer it.
-type UnreachableReport struct {
-	Name string  `json:"Name"`
-	Dark []int64 `json:"Dark"`
-}
-
 // requiredReporters is how many fronts must get no answer, of all in a zone at least a
 // twentieth: one that is slow itself does not speak for the others.
 func requiredReporters(here int) int { return max(2, (here+19)/20) }
@@ -100,28 +94,3 @@
 		})
 	})
 }
-
-// reportUnreachableLoop tells the hut watched first of searchers that did not answer.
-func (t *FrontServer) reportUnreachableLoop() {
-	for {
-		select {
-		case <-t.host.Stopping:
-			return
-		case <-t.endpointMissed:
-		}
-		// Others of the same request come in together.
-		time.Sleep(t.host.Heartbeats(0.05))
-		dark := t.endpoints.Missed(t.host.Heartbeats(1))
-		to := ""
-		t.loop.Call(func() {
-			if len(t.watchTargets) > 0 {
-				to = t.watchTargets[0]
-			}
-		})
-		if len(dark) == 0 || to == "" {
-			continue
-		}
-		_ = t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), PathUnreachable, UnreachableReport{t.host.Settings().NodeName, dark}, nil, t.host.Heartbeats(0.5))
-		time.Sleep(t.host.Heartbeats(0.2))
-	}
-}
--- a/internal/lodge/hollow.go
+++ b/internal/lodge/hollow.go
@@ -66,11 +66,11 @@
 // Ready counts the fronts that are ready, and those that hold a version and a table.
 func (h *Hollow) Ready(version int64, table endpoints.Stamp) (ready, current int) {
 	for _, n := range h.nodes {
-		if n.front.ready.Load() {
+		if n.front.Ready() {
 			ready++
 		}
-		held := n.front.progress.Load()
-		if held.version >= version && !held.stamp.Before(table) {
+		heldVersion, heldTable := n.front.Progress()
+		if heldVersion >= version && !heldTable.Before(table) {
 			current++
 		}
 	}
@@ -80,10 +80,10 @@
 // Newest is the newest version and table that any of the fronts holds.
 func (h *Hollow) Newest() (version int64, table endpoints.Stamp) {
 	for _, n := range h.nodes {
-		held := n.front.progress.Load()
-		version = max(version, held.version)
-		if table.Before(held.stamp) {
-			table = held.stamp
+		heldVersion, heldTable := n.front.Progress()
+		version = max(version, heldVersion)
+		if table.Before(heldTable) {
+			table = heldTable
 		}
 	}
 	return version, table
@@ -92,13 +92,7 @@
 // Stop ends all fronts at once.
 func (h *Hollow) Stop() {
 	for _, n := range h.nodes {
-		close(n.Stopping)
-		for _, l := range n.listeners {
-			l.Close()
-		}
-		if l := n.front.listener.Load(); l != nil {
-			(*l).Close()
-		}
+		n.Close()
 	}
 	time.Sleep(10 * time.Millisecond)
 }
--- a/internal/lodge/hut.go
+++ b/internal/lodge/hut.go
@@ -1,7 +1,6 @@
 package lodge
 
 import (
-	"encoding/json"
 	"maps"
 	"math/rand/v2"
 	"slices"
@@ -123,17 +122,17 @@
 	leases := map[string]lease.Record{}
 	var id string
 	var terms rollout.Noted
-	err = loadRecords(cel, map[string]any{recordTerms: &terms, recordIdentity: &id, recordLeases: &leases, recordTable: &h.table, recordFronts: &h.inheritedFrontCount, recordIncarnation: &h.incarnation})
+	err = Load(cel, map[string]any{RecordTerms: &terms, RecordIdentity: &id, RecordLeases: &leases, RecordTable: &h.table, RecordFrontCount: &h.inheritedFrontCount, RecordIncarnation: &h.incarnation})
 	if err != nil {
 		return nil, err
 	}
-	st, ballots, packed, err := loadState(cel, n.MaxMessageBytes())
+	st, ballots, packed, err := LoadState(cel, n.MaxMessageBytes())
 	if err != nil {
 		return nil, err
 	}
 	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.AppliedCount
 	h.incarnation++
-	records := map[string][]byte{recordIncarnation: Encode(recordIncarnation, h.incarnation)}
+	records := map[string][]byte{RecordIncarnation: MustEncode(RecordIncarnation, h.incarnation)}
 	if id == "" {
 		if s.FirstStart && !cel.Quarantined() {
 			ips := s.SeedIPs()
@@ -145,8 +144,8 @@
 			id = "later-" + s.IpAddress + "-" + host.RandomID()
 			events.Log(events.IdentityCreated, "id", id)
 		}
-		maps.Copy(records, stateRecords(st, -1, 0))
-		records[recordIdentity] = Encode(recordIdentity, id)
+		maps.Copy(records, StateRecords(st, -1, 0))
+		records[RecordIdentity] = MustEncode(RecordIdentity, id)
 	}
 	if err := writeInitialRecords(cel.PutAll, records, until, again); err != nil {
 		cel.Close(again)
@@ -161,9 +160,9 @@
 	h.ineligible = true // until it has heard a majority
 	leaseDuration := n.Heartbeats(1.25)
 	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.IsVoter(id), n.Now())
-	h.pollLease = lease.NewCandidate(pollerRole, id, leaseDuration, n.Now())
+	h.pollLease = lease.NewCandidate(PollerRole, id, leaseDuration, n.Now())
 	h.pollLease.SetIncarnation(h.incarnation)
-	h.pollLease.ObserveEpoch(leases[pollerRole].Epoch, leases[pollerRole].Holder)
+	h.pollLease.ObserveEpoch(leases[PollerRole].Epoch, leases[PollerRole].Holder)
 	if h.table != nil {
 		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.Holder)
 	}
@@ -188,18 +187,9 @@
 	}
 }
 
-func Encode(name string, v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		events.Log(events.InvariantViolated, "record", name, "err", err)
-		panic(err)
-	}
-	return b
-}
-
 // writeRecord writes one record.
 func (h *ControlServer) writeRecord(name string, v any, then func(error)) {
-	h.store.Put(name, Encode(name, v), then)
+	h.store.Put(name, MustEncode(name, v), then)
 }
 
 func (h *ControlServer) Start() {
@@ -316,7 +306,7 @@
 			var body []byte
 			h.loop.Call(func() { say, body = h.versionResponse(m) })
 			c.SetStatusCode(200)
-			c.Response.Header.Set(HeaderVersion, string(Encode("version", say)))
+			c.Response.Header.Set(HeaderVersion, string(MustEncode("version", say)))
 			c.Response.Header.SetContentType("application/json")
 			c.Response.Header.SetContentEncoding("gzip")
 			c.Response.SetBodyRaw(body)
@@ -425,3 +415,22 @@
 	}
 	return true
 }
+
+// ID is the identity that this node's disk was given.
+func (h *ControlServer) ID() string { return h.acceptor.ID }
+
+// Close ends the server at once; the store gets the time given to finish its writes.
+func (h *ControlServer) Close(within time.Duration) {
+	h.store.Close(within)
+	h.loop.Close()
+}
+
+// BeginChange registers an operator's change that this node works on, so that
+// Drain waits for its end. ok is false once the node takes no more of them.
+func (h *ControlServer) BeginChange() (end func(), ok bool) {
+	h.ordersInFlight.Add(1)
+	return func() { h.ordersInFlight.Add(-1) }, !h.closing.Load()
+}
+
+// Closing tells whether the node takes no more changes because it drains.
+func (h *ControlServer) Closing() bool { return h.closing.Load() }
--- a/internal/lodge/larder.go
+++ b/internal/lodge/larder.go
@@ -19,42 +19,6 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// CacheFetchRequest asks for an object, larderSay goes with the answer, in a header:
-// the object itself is the body. All times are in milliseconds.
-type CacheFetchRequest struct {
-	Host    string  `json:"H"`
-	Target  string  `json:"T"`
-	Service string  `json:"S"`
-	Weight  float64 `json:"W"`
-	// Purge is the last purge that the asker knows; LeftMs is how long the
-	// client waits, WaitMs how long the asker does before it asks again.
-	Purge  int64 `json:"P"`
-	LeftMs int64 `json:"L"`
-	WaitMs int64 `json:"M"`
-	AimMs  int64 `json:"A"`
-	// Again: the client was refused once and came back.
-	Again bool `json:"R,omitempty"`
-}
-
-type CacheFetchResponse struct {
-	// Status is 200 for a copy, 202 while it is being fetched, the origin's
-	// status for an answer passed on, and 502 to 504 for a failure of ours.
-	Status int           `json:"X"`
-	Fields []cache.Field `json:"F,omitempty"`
-	ETag   string        `json:"E,omitempty"`
-	Stamp  string        `json:"S,omitempty"`
-	Tags   []string      `json:"T,omitempty"`
-	Known  int64         `json:"K,omitempty"`
-	AgeMs  int64         `json:"A,omitempty"`
-	BackMs int64         `json:"B,omitempty"`
-	Passed bool          `json:"P,omitempty"`
-}
-
-// StatusNoQuota: the node has no part of the service's ceiling now.
-const StatusNoQuota = 409
-
-const HeaderCacheFetch = "Swiftswitch-Larder"
-
 // Ratios of the tier.
 const (
 	// rateLimitUse is the part of a service's RequestsPerS that is used;
@@ -64,8 +28,6 @@
 	// MaxSilenceBeforePause, a part of CatchUpS, is how long a larder that hears of no hut
 	// goes on fetching; a hut counts it as gone after the whole of it.
 	MaxSilenceBeforePause = 0.6
-	// frontFetchShare is the part of the ceiling that fronts share when there is no larder.
-	frontFetchShare = 0.5
 	// refreshAt, a part of the lifetime, is when a copy in use is confirmed ahead.
 	refreshAt = 0.75
 	// rejectAboveWait, a part of the time that a client has, is the wait above which it is refused.
@@ -411,7 +373,7 @@
 		s, body = k.Get(a, r.Lifetime, r.Sends)
 	}
 	c.SetStatusCode(200)
-	c.Response.Header.Set(HeaderCacheFetch, string(Encode("larder", s)))
+	c.Response.Header.Set(HeaderCacheFetch, string(MustEncode("larder", s)))
 	c.Response.Header.SetContentType("application/octet-stream")
 	c.Response.SetBodyRaw(body)
 }
--- a/internal/lodge/larder_test.go
+++ b/internal/lodge/larder_test.go
@@ -11,8 +11,8 @@
 )
 
 // order sends an operator's order that is no configuration.
-func (w *town) order(n int, method, path, match, body string) int {
-	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", w.ip(n), w.port, path), strings.NewReader(body))
+func operateStatus(w *Cluster, n int, method, path, match, body string) int {
+	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", w.IP(n), w.Port, path), strings.NewReader(body))
 	if match != "" {
 		req.Header.Set("If-Match", match)
 	}
@@ -25,29 +25,28 @@
 	return resp.StatusCode
 }
 
-func (s *searcher) serve(version int) { s.mu.Lock(); s.object = version; s.mu.Unlock() }
+func (s *Searcher) serve(version int) { s.Mu.Lock(); s.ObjectVersion = version; s.Mu.Unlock() }
 
 // The content tier on loopback: one fetch for many, purges, lost larders, no larder at all.
 func TestCopies(t *testing.T) {
-	w := newTown(t)
-	origin := w.searcher("origin", "origin-a")
+	w := New(t)
+	origin := w.AddSearcher("origin", "origin-a")
 	origin.serve(1)
-	w.searcher("s1", "s1-a")
+	w.AddSearcher("s1", "s1-a")
 	for _, n := range []int{1, 2, 3, 11, 12, 21, 22} {
-		w.run(n, true, 1, 2, 3)
+		w.Run(n, true, 1, 2, 3)
 	}
-	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
+	w.Eventually("the first configuration is acknowledged", func() bool {
+		status, _ := w.PutConfiguration(2, "PUT", "0", ConfigurationBody(3, "s1"))
 		return status == 200
 	})
-	w.eventually("both larders may fetch", func() bool {
+	w.Eventually("both larders may fetch", func() bool {
 		for _, n := range []string{"21", "22"} {
-			if part, ok := w.nodes[n].front.QuotaShare(); !ok || part != 0.5 {
+			if part, ok := w.Nodes[n].Front().QuotaShare(); !ok || part != 0.5 {
 				return false
 			}
 		}
-		l := w.nodes["11"].front.cacheNodes.Load()
-		return l != nil && len(l.list) == 2 && w.ready(11) && w.ready(12)
+		return len(w.Nodes["11"].Front().CacheNodes()) == 2 && w.FrontReady(11) && w.FrontReady(12)
 	})
 	// Many at once, at both fronts: one fetch.
 	var wg sync.WaitGroup
@@ -55,7 +54,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			req, _ := http.NewRequest("GET", fmt.Sprintf("http://%s:8080/c/x", w.ip(11+i%2)), nil)
+			req, _ := http.NewRequest("GET", fmt.Sprintf("http://%s:8080/c/x", w.IP(11+i%2)), nil)
 			req.Host = "a.example"
 			req.Header.Set("Swiftswitch-Request-Id", fmt.Sprint("m", i))
 			resp, err := http.DefaultTransport.RoundTrip(req)
@@ -71,11 +70,11 @@
 		}()
 	}
 	wg.Wait()
-	if n := origin.ran(); n != 1 {
+	if n := origin.Ran(); n != 1 {
 		t.Fatalf("%d fetches for one object", n)
 	}
 	is := func(n int, path, want string) bool {
-		r, body, _ := w.ask(n, "GET", path, "")
+		r, body, _ := w.Request(n, "GET", path, "")
 		return r.StatusCode == 200 && string(body) == want
 	}
 	// It changes without notice: the copy lives its time, then it is asked about.
@@ -91,7 +90,7 @@
 	origin.serve(3)
 	for i, body := range []string{`{"HostName":"A.example","Path":"/c/x"}`, `{"Tag":"tx"}`, `{"Tag":"all"}`} {
 		origin.serve(3 + i)
-		if st := w.order([]int{1, 11, 21}[i], "POST", "/-/purge", "", body); st != 200 {
+		if st := operateStatus(w, []int{1, 11, 21}[i], "POST", "/-/purge", "", body); st != 200 {
 			t.Fatalf("%s: %d", body, st)
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -101,71 +100,71 @@
 			}
 		}
 	}
-	if st := w.order(2, "POST", "/-/purge", "", `{"Tag":"held-by-nothing"}`); st != 200 {
+	if st := operateStatus(w, 2, "POST", "/-/purge", "", `{"Tag":"held-by-nothing"}`); st != 200 {
 		t.Fatal(st)
 	}
 	for _, bad := range []string{`{}`, `{"Tag":"a","HostName":"b","Path":"/"}`, `nonsense`, `{"HostName":"b"}`} {
-		if st := w.order(2, "POST", "/-/purge", "", bad); st != 400 {
+		if st := operateStatus(w, 2, "POST", "/-/purge", "", bad); st != 400 {
 			t.Errorf("%s: %d", bad, st)
 		}
 	}
-	if st := w.order(2, "POST", "/-/purge", "", `{"Tag":"`+strings.Repeat("x", maxPurgeBytes)+`"}`); st != 413 {
+	if st := operateStatus(w, 2, "POST", "/-/purge", "", `{"Tag":"`+strings.Repeat("x", MaxPurgeBytes)+`"}`); st != 413 {
 		t.Errorf("an oversize purge: %d", st)
 	}
 	// A larder is lost: the next in line fetches; struck off, its part goes to the other.
-	w.stop("21")
+	w.Kill("21")
 	for i := 0; i < 6; i++ {
 		path := fmt.Sprint("/c/lost", i)
 		if !is(11, path, path+" version 5") {
 			t.Fatalf("with one larder lost: %s", path)
 		}
 	}
-	w.eventually("the other has the whole ceiling", func() bool {
-		part, ok := w.nodes["22"].front.QuotaShare()
+	w.Eventually("the other has the whole ceiling", func() bool {
+		part, ok := w.Nodes["22"].Front().QuotaShare()
 		return ok && part == 1
 	})
 	// It comes back, and gets its part once the other has given it up.
-	w.run(21, false, 1, 2, 3)
-	w.eventually("both have their part", func() bool {
-		a, ok1 := w.nodes["21"].front.QuotaShare()
-		b, ok2 := w.nodes["22"].front.QuotaShare()
+	w.Run(21, false, 1, 2, 3)
+	w.Eventually("both have their part", func() bool {
+		a, ok1 := w.Nodes["21"].Front().QuotaShare()
+		b, ok2 := w.Nodes["22"].Front().QuotaShare()
 		if ok1 && a+b > 1 {
 			t.Fatalf("parts of %v and %v", a, b)
 		}
 		return ok1 && ok2 && a == 0.5 && b == 0.5
 	})
 	// All are lost: the fronts fetch, sparingly.
-	w.stop("21")
-	w.stop("22")
-	w.eventually("fronts fetch themselves", func() bool { return is(11, "/c/alone", "/c/alone version 5") })
-	if part, ok := w.nodes["11"].front.QuotaShare(); !ok || part > frontFetchShare/2 {
+	w.Kill("21")
+	w.Kill("22")
+	w.Eventually("fronts fetch themselves", func() bool { return is(11, "/c/alone", "/c/alone version 5") })
+	if part, ok := w.Nodes["11"].Front().QuotaShare(); !ok || part > FrontFetchShare/2 {
 		t.Fatalf("a front has a part of %v", part)
 	}
 	// An answer that is broken or carries no stamp is not kept.
-	origin.set("nostamp")
-	before := origin.ran()
-	if r, _, _ := w.ask(12, "GET", "/c/broken", ""); r.StatusCode < 300 {
+	origin.SetMode("nostamp")
+	before := origin.Ran()
+	if r, _, _ := w.Request(12, "GET", "/c/broken", ""); r.StatusCode < 300 {
 		t.Fatalf("an answer without a stamp was handed on: %d", r.StatusCode)
 	}
-	origin.set("")
-	w.eventually("it is fetched anew", func() bool { return is(12, "/c/broken", "/c/broken version 5") })
-	if origin.ran() <= before+1 {
+	origin.SetMode("")
+	w.Eventually("it is fetched anew", func() bool { return is(12, "/c/broken", "/c/broken version 5") })
+	if origin.Ran() <= before+1 {
 		t.Fatal("an answer without a stamp was kept")
 	}
 	// A change of named items: one whole version, known when it is sent again.
 	patch := `{"Version":4,"SetItems":{"Routes":[{"Name":"c","HostName":"a.example","PathPrefix":"/c/","RouteKind":"cached","TimeoutMs":2000,"TargetLatencyMs":300,"Service":"origin","CacheLifetimeS":9}]},"RemoveNames":{"Routes":["u"]}}`
 	for i := 0; i < 2; i++ {
-		if st := w.order(1+i, "PATCH", "/-/configuration", "3", patch); st != 200 {
+		if st := operateStatus(w, 1+i, "PATCH", "/-/configuration", "3", patch); st != 200 {
 			t.Fatalf("patch, time %d: %d", i, st)
 		}
 	}
-	if st := w.order(3, "PATCH", "/-/configuration", "3", strings.Replace(patch, "9}", "8}", 1)); st != 412 {
+	if st := operateStatus(w, 3, "PATCH", "/-/configuration", "3", strings.Replace(patch, "9}", "8}", 1)); st != 412 {
 		t.Fatalf("another patch on the same base: %d", st)
 	}
-	if st := w.order(3, "PATCH", "/-/configuration", "4", `{"Version":5,"RemoveNames":{"Services":["origin"]}}`); st != 400 {
+	if st := operateStatus(w, 3, "PATCH", "/-/configuration", "4", `{"Version":5,"RemoveNames":{"Services":["origin"]}}`); st != 400 {
 		t.Fatalf("a patch that leaves an invalid whole: %d", st)
 	}
-	if st, body := w.control(2, "GET", "", ""); st != 200 || strings.Contains(body, `"Name":"u"`) || !strings.Contains(body, `"CacheLifetimeS":9`) || !strings.Contains(body, `"Version":4`) {
+	if st, body := w.PutConfiguration(2, "GET", "", ""); st != 200 || strings.Contains(body, `"Name":"u"`) || !strings.Contains(body, `"CacheLifetimeS":9`) || !strings.Contains(body, `"Version":4`) {
 		t.Fatalf("read back: %d %s", st, body)
 	}
 }
--- a/internal/lodge/lease.go
+++ b/internal/lodge/lease.go
@@ -10,8 +10,8 @@
 	"swiftswitch/internal/lease"
 )
 
-// pollerRole is the duty to read the platform's list.
-const pollerRole = "list"
+// PollerRole is the duty to read the platform's list.
+const PollerRole = "list"
 
 // grantorTable is the table that a voter held when it granted an epoch.
 type grantorTable struct {
@@ -156,7 +156,7 @@
 			return
 		}
 		records, write := h.voter.Records()
-		h.writeRecord(recordLeases, records, func(err error) {
+		h.writeRecord(RecordLeases, records, func(err error) {
 			if err == nil {
 				h.loop.Submit(func() { h.voter.MarkDurable(write) })
 			}
--- a/internal/lodge/life.go
+++ b/internal/lodge/life.go
@@ -32,22 +32,22 @@
 		case s := <-sig:
 			if s == syscall.SIGHUP {
 				seen = modificationTime(n.settingsPath)
-				n.reload()
+				n.Reload()
 				continue
 			}
-			n.drain()
+			n.Drain()
 			return
 		case <-time.After(n.Heartbeats(1)):
 			if t := modificationTime(n.settingsPath); !t.Equal(seen) {
 				seen = t
-				n.reload()
+				n.Reload()
 			}
 		}
 	}
 }
 
-// reload takes a changed settings file, or keeps the old settings.
-func (n *Node) reload() {
+// Reload takes a changed settings file, or keeps the old settings.
+func (n *Node) Reload() {
 	s, err := config.LoadSettings(n.settingsPath)
 	old := n.Settings()
 	switch {
@@ -63,8 +63,8 @@
 	events.Log(events.SettingsReloaded)
 }
 
-// drain leaves in order, inside GraceS.
-func (n *Node) drain() {
+// Drain leaves in order, inside GraceS.
+func (n *Node) Drain() {
 	start := time.Now()
 	grace := config.Seconds(n.Settings().Bounds.GraceS, 1)
 	events.Log(events.Draining, "grace", grace)
--- a/internal/lodge/many_test.go
+++ b/internal/lodge/many_test.go
@@ -12,10 +12,10 @@
 // Hundreds of fronts ask one hut at the same moment, twice: each gets the whole
 // table, which is packed once for all, and is counted with its zone.
 func TestManyFrontsJoin(t *testing.T) {
-	w, s := start(t)
+	w, s := Start(t)
 	const fronts = 240
-	hut := w.nodes["1"].control
-	to := w.nodes["1"].Settings().InternalAddress(w.ip(1))
+	hut := w.Nodes["1"].Control()
+	to := w.Nodes["1"].Settings().InternalAddress(w.IP(1))
 	var tables []*endpoints.Table
 	for round := 0; round < 2; round++ {
 		var wg sync.WaitGroup
@@ -26,12 +26,12 @@
 				defer wg.Done()
 				ask := WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, Purge: -1, Zone: []string{"z1", "z2"}[i%2], First: true, HoldMs: 100, Hello: true}
 				var say WatchResponse
-				if err := w.nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
+				if err := w.Nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
 					t.Errorf("hello: %v, %d huts", err, len(say.Huts))
 					return
 				}
 				ask.Hello = false
-				if err := w.nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil {
+				if err := w.Nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 3*time.Second); err != nil {
 					t.Errorf("watch: %v", err)
 					return
 				}
@@ -53,13 +53,13 @@
 	// What several of them tell of a searcher reaches another at once.
 	need := requiredReporters(fronts/2 + 1)
 	for i := range need {
-		if err := w.nodes["1"].Client.CallJSON(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Endpoints[0].Ordinal}}, nil, time.Second); err != nil {
+		if err := w.Nodes["1"].Client.CallJSON(to, PathUnreachable, UnreachableReport{fmt.Sprint("many-", 2*i), []int64{tables[0].Endpoints[0].Ordinal}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var say WatchResponse
 	ask := WatchRequest{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Endpoints[0].Ordinal {
+	if err := w.Nodes["1"].Client.CallJSON(to, PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Endpoints[0].Ordinal {
 		t.Errorf("told of silent searchers: %v, %v", say.Dark, err)
 	}
 	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
@@ -77,7 +77,7 @@
 	if _, err := UnpackTableDelta([]byte("no gzip"), 1<<20); err == nil {
 		t.Error("garbage was unpacked")
 	}
-	if _, err := UnpackTableDelta(GzipPack(make([]byte, 5000)), 4000); err == nil {
+	if _, err := UnpackTableDelta(Gzip(make([]byte, 5000)), 4000); err == nil {
 		t.Error("an oversize message was unpacked")
 	}
 }
@@ -85,27 +85,27 @@
 // The holder of the duty to read the list goes just when a searcher begins to
 // drain: the next one notices, in time.
 func TestDrainWhileHolderGoes(t *testing.T) {
-	w, s := start(t)
+	w, s := Start(t)
 	holder := ""
-	w.eventually("somebody has the duty", func() bool {
+	w.Eventually("somebody has the duty", func() bool {
 		for _, n := range []string{"1", "2", "3"} {
-			if w.nodes[n].control.Status().Polling {
+			if w.Nodes[n].Control().Status().Polling {
 				holder = n
 			}
 		}
 		return holder != ""
 	})
-	w.stop(holder)
-	w.mark("plain-a", "draining")
+	w.Kill(holder)
+	w.SetSearcherState("plain-a", "draining")
 	listed := time.Now()
-	bound := time.Duration(w.settings(11, false, 1).Bounds.DrainMs) * time.Millisecond
-	w.eventually("the fronts leave the searcher alone", func() bool {
-		before := s["plain-a"].ran()
+	bound := time.Duration(w.Settings(11, false, 1).Bounds.DrainMs) * time.Millisecond
+	w.Eventually("the fronts leave the searcher alone", func() bool {
+		before := s["plain-a"].Ran()
 		for i := 0; i < 6; i++ {
-			w.ask(11, "GET", "/p/x", "")
-			w.ask(12, "GET", "/p/x", "")
+			w.Request(11, "GET", "/p/x", "")
+			w.Request(12, "GET", "/p/x", "")
 		}
-		return s["plain-a"].ran() == before
+		return s["plain-a"].Ran() == before
 	})
 	if took := time.Since(listed); took > bound {
 		t.Errorf("it took %v, the bound is %v", took, bound)
--- a/internal/lodge/members.go
+++ b/internal/lodge/members.go
@@ -35,7 +35,7 @@
 	}
 	if n > h.persistedFrontCount {
 		h.persistedFrontCount = n
-		h.writeRecord(recordFronts, n, nil)
+		h.writeRecord(RecordFrontCount, n, nil)
 	}
 }
 
@@ -61,7 +61,7 @@
 		held.Fronts = h.persistedFrontCount
 		// The store writes in order: once this is on disk, so is all before it.
 		s := h.acceptor.State
-		h.store.PutAll(stateRecords(s, s.Version, s.AppliedCount), func(e error) {
+		h.store.PutAll(StateRecords(s, s.Version, s.AppliedCount), func(e error) {
 			if e == nil {
 				h.loop.Submit(func() { h.acceptor.MarkStateDurable(s.Slot); h.wakeDurabilityWaiters() })
 			}
--- a/internal/lodge/members_test.go
+++ b/internal/lodge/members_test.go
@@ -13,77 +13,18 @@
 	"swiftswitch/internal/membership"
 )
 
-// core runs three huts with a first configuration.
-func core(t *testing.T, losses int, huts ...int) *town {
-	w := newTown(t)
-	w.losses = losses
-	w.searcher("plain", "plain-a")
-	for _, n := range huts {
-		w.run(n, true, 1, 2, 3)
-	}
-	w.eventually("the first configuration is acknowledged", func() bool {
-		status, _ := w.control(2, "PUT", "0", configBody(3, "s1"))
-		return status == 200
-	})
-	return w
-}
-
-func (w *town) hut(n int) *ControlServer { return w.nodes[fmt.Sprint(n)].control }
-
-// votes tells whether hut n has a vote, as hut by knows it.
-func (w *town) votes(by, n int) bool { return w.hut(by).State().IsVoter(w.hut(n).acceptor.ID) }
-
-// wipe ends a node at once and takes its disk.
-func (w *town) wipe(n int) {
-	w.stop(fmt.Sprint(n))
-	w.dirs[fmt.Sprint("hut-", n)] = w.t.TempDir()
-}
-
-// storm sends changes to the huts from several operators until it is ended;
-// that returns the newest acknowledged version.
-func (w *town) storm(huts ...int) (end func() int64) {
-	// Looked up once: the town's nodes change meanwhile.
-	var at []*ControlServer
-	for _, n := range huts {
-		at = append(at, w.hut(n))
-	}
-	var mu sync.Mutex
-	newest := int64(3)
-	// There is never a moment without an order that waits for its turn.
-	endTurns := repeat(3*len(at), func(i int) {
-		h := at[i%len(at)]
-		h.proposalLock.Lock()
-		time.Sleep(5 * time.Millisecond)
-		h.proposalLock.Unlock()
-	})
-	endOrders := repeat(8, func(i int) {
-		n := huts[i%len(huts)]
-		if i >= 4 {
-			_, _ = w.operate(n, "POST", "/-/purge", "", `{"Tag":"x"}`)
-			return
-		}
-		on := at[i%len(at)].State().Version
-		if st, _ := w.control(n, "PUT", fmt.Sprint(on), configBody(int(on)+1+i, "s1")); st == 200 {
-			mu.Lock()
-			newest = max(newest, on+1+int64(i))
-			mu.Unlock()
-		}
-	})
-	return func() int64 { endTurns(); endOrders(); return newest }
-}
-
 // A member goes for good under a storm of changes. The newcomer has its place
 // well within CatchUpS of its own start beyond the silence that must be, and
 // the moment it has it, another disk may be lost.
 func TestReplacedUnderAStorm(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	end := w.storm(1, 2)
+	w := ControlNodes(t, 1, 1, 2, 3)
+	end := startChanges(w, 1, 2)
 	time.Sleep(200 * time.Millisecond)
-	w.stop("3")
-	time.Sleep(w.hut(1).replacementTimeout())
+	w.Kill("3")
+	time.Sleep(w.Control(1).replacementTimeout())
 	at := time.Now()
-	w.run(4, false, 1, 2)
-	for !w.votes(4, 4) {
+	w.Run(4, false, 1, 2)
+	for !w.IsVoter(4, 4) {
 		if time.Since(at) > 2500*time.Millisecond {
 			end()
 			t.Fatalf("no vote after %v", time.Since(at))
@@ -91,10 +32,10 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	t.Logf("a vote after %v", time.Since(at))
-	w.wipe(1)
+	w.Wipe(1)
 	newest := end()
-	w.eventually("what was acknowledged is read back", func() bool {
-		st, body := w.control(4, "GET", "", "")
+	w.Eventually("what was acknowledged is read back", func() bool {
+		st, body := w.PutConfiguration(4, "GET", "", "")
 		if st != 200 {
 			return false
 		}
@@ -105,24 +46,24 @@
 		}
 		return true
 	})
-	w.run(1, false, 4)
-	w.eventually("the lost disk votes again", func() bool { return w.votes(2, 1) })
+	w.Run(1, false, 4)
+	w.Eventually("the lost disk votes again", func() bool { return w.IsVoter(2, 1) })
 	// The one that was replaced comes back with its disk and its old vote.
-	w.run(3, false, 1, 2)
-	w.eventually("it learns that it was replaced", func() bool { return !w.votes(3, 3) })
-	if st, body := w.control(3, "GET", "", ""); st != 200 || !strings.HasPrefix(body, `{"Version":`) {
+	w.Run(3, false, 1, 2)
+	w.Eventually("it learns that it was replaced", func() bool { return !w.IsVoter(3, 3) })
+	if st, body := w.PutConfiguration(3, "GET", "", ""); st != 200 || !strings.HasPrefix(body, `{"Version":`) {
 		t.Fatalf("%d %s", st, body)
 	}
-	time.Sleep(w.hut(1).replacementTimeout())
-	if s := w.hut(2).State(); w.hut(3).Status().Polling || !s.IsVoter(w.hut(1).acceptor.ID) || !s.IsVoter(w.hut(4).acceptor.ID) || len(s.Voters) != 3 {
+	time.Sleep(w.Control(1).replacementTimeout())
+	if s := w.Control(2).State(); w.Control(3).Status().Polling || !s.IsVoter(w.Control(1).ID()) || !s.IsVoter(w.Control(4).ID()) || len(s.Voters) != 3 {
 		t.Fatalf("it has a place or a duty: %v", s.Voters)
 	}
 }
 
 // One judge hears nothing of a member that all others hear: it replaces nobody.
 func TestOneJudgeIsWronglySilent(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	h := w.hut(1)
+	w := ControlNodes(t, 1, 1, 2, 3)
+	h := w.Control(1)
 	stop := make(chan struct{})
 	deaf := make(chan struct{})
 	go func() {
@@ -137,7 +78,7 @@
 				}
 				h.detector.SetVoters(ids, -time.Hour)
 				for _, v := range h.acceptor.State.Voters {
-					if v.IP != w.ip(3) {
+					if v.IP != w.IP(3) {
 						h.detector.OnHeartbeat(v.ID, now)
 					}
 				}
@@ -150,28 +91,28 @@
 		}
 	}()
 	defer func() { close(stop); <-deaf }()
-	w.run(4, false, 1)
-	w.eventually("hut 1 calls hut 3 silent", func() bool { return len(h.memberReport().Suspected) == 1 })
-	w.eventually("the newcomer is caught up", func() bool { return w.hut(4).State().Version == 3 })
-	say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()})
+	w.Run(4, false, 1)
+	w.Eventually("hut 1 calls hut 3 silent", func() bool { return len(h.memberReport().Suspected) == 1 })
+	w.Eventually("the newcomer is caught up", func() bool { return w.Control(4).State().Version == 3 })
+	say := h.handleJoin(JoinRequest{w.Control(4).ID(), w.IP(4), w.Control(4).waitDurable()})
 	time.Sleep(700 * time.Millisecond)
-	if say.Votes || w.votes(2, 4) || !w.votes(2, 3) {
-		t.Fatalf("replaced by one node's timer: %v", w.hut(2).State().Voters)
+	if say.Votes || w.IsVoter(2, 4) || !w.IsVoter(2, 3) {
+		t.Fatalf("replaced by one node's timer: %v", w.Control(2).State().Voters)
 	}
 	// With hut 3 really gone, one node that has no majority replaces nobody either.
-	w.stop("3")
-	w.stop("2")
-	if say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()}); say.Votes {
+	w.Kill("3")
+	w.Kill("2")
+	if say := h.handleJoin(JoinRequest{w.Control(4).ID(), w.IP(4), w.Control(4).waitDurable()}); say.Votes {
 		t.Fatal("a vote given without a majority")
 	}
 }
 
 // at waits until these huts hold that version.
-func (w *town) at(version int64, huts ...int) {
-	w.t.Helper()
-	w.eventually(fmt.Sprint("all hold version ", version), func() bool {
+func waitVersion(w *Cluster, version int64, huts ...int) {
+	w.T.Helper()
+	w.Eventually(fmt.Sprint("all hold version ", version), func() bool {
 		for _, k := range huts {
-			if w.hut(k).State().Version != version {
+			if w.Control(k).State().Version != version {
 				return false
 			}
 		}
@@ -185,14 +126,14 @@
 // One accepted by a single voter would prove nothing: its slot may go to the
 // change of voters.
 func TestLeavingWithTheOnlyCopy(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	w.run(4, false, 3)
-	w.at(3, 1, 2, 3, 4)
-	h := w.hut(3)
+	w := ControlNodes(t, 1, 1, 2, 3)
+	w.Run(4, false, 3)
+	waitVersion(w, 3, 1, 2, 3, 4)
+	h := w.Control(3)
 	var stamp endpoints.Stamp
-	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: configBody(9, "s1"), RequestFingerprint: "x"}}}
+	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: ConfigurationBody(9, "s1"), RequestFingerprint: "x"}}}
 	for _, k := range []int{1, 3} {
-		if say, err := w.hut(k).handleConsensus(m); err != nil || !say.OK {
+		if say, err := w.Control(k).handleConsensus(m); err != nil || !say.OK {
 			t.Errorf("hut %d has not accepted: %+v %v", k, say, err)
 		}
 	}
@@ -203,24 +144,24 @@
 		table, _ := endpoints.NextTable(h.table, list, stamp)
 		h.setTable(table)
 	})
-	n := w.nodes["3"]
-	delete(w.nodes, "3")
+	n := w.Nodes["3"]
+	delete(w.Nodes, "3")
 	var refused, taken int
 	var retry string
 	done := make(chan time.Duration)
-	go func() { at := time.Now(); n.drain(); done <- time.Since(at) }()
+	go func() { at := time.Now(); n.Drain(); done <- time.Since(at) }()
 	var took time.Duration
 	for took == 0 {
 		select {
 		case took = <-done:
 		default:
-			req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090/-/configuration", w.ip(3)), strings.NewReader("{"))
+			req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090/-/configuration", w.IP(3)), strings.NewReader("{"))
 			resp, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 			if err != nil {
 				continue
 			}
 			resp.Body.Close()
-			if resp.StatusCode == 503 && n.control.closing.Load() {
+			if resp.StatusCode == 503 && n.Control().Closing() {
 				refused, retry = refused+1, resp.Header.Get("Retry-After")
 			} else {
 				taken++
@@ -228,7 +169,7 @@
 		}
 	}
 	// The closing loss, in this very moment.
-	w.wipe(1)
+	w.Wipe(1)
 	if took > time.Second {
 		t.Errorf("leaving took %v", took)
 	}
@@ -242,13 +183,13 @@
 		}
 	})
 	for _, k := range []int{2, 4} {
-		s := w.hut(k).State()
-		if s.Version != 9 || s.IsVoter(n.control.acceptor.ID) || !s.IsVoter(w.hut(4).acceptor.ID) {
+		s := w.Control(k).State()
+		if s.Version != 9 || s.IsVoter(n.Control().ID()) || !s.IsVoter(w.Control(4).ID()) {
 			t.Errorf("hut %d: version %d, voters %v", k, s.Version, s.Voters)
 		}
 		var kept int
 		var at endpoints.Stamp
-		w.hut(k).loop.Call(func() { kept, at = w.hut(k).persistedFrontCount, w.hut(k).table.Stamp })
+		w.Control(k).loop.Call(func() { kept, at = w.Control(k).persistedFrontCount, w.Control(k).table.Stamp })
 		if kept < 7 {
 			t.Errorf("hut %d: %d fronts", k, kept)
 		}
@@ -256,68 +197,68 @@
 			t.Errorf("hut %d: table %v", k, at)
 		}
 	}
-	w.eventually("the outcome is read back", func() bool {
-		st, body := w.control(4, "GET", "", "")
-		return st == 200 && body == configBody(9, "s1")
+	w.Eventually("the outcome is read back", func() bool {
+		st, body := w.PutConfiguration(4, "GET", "", "")
+		return st == 200 && body == ConfigurationBody(9, "s1")
 	})
-	n.control.loop.Close()
+	n.Control().loop.Close()
 }
 
 // All leave at once: nobody waits for another without bound, and none hands its
 // place to one that leaves.
 func TestAllLeaveAtOnce(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	w.run(4, false, 1)
-	w.eventually("the fourth stands by", func() bool { return w.hut(4).State().Version == 3 })
-	before := w.hut(1).State().Slot
+	w := ControlNodes(t, 1, 1, 2, 3)
+	w.Run(4, false, 1)
+	w.Eventually("the fourth stands by", func() bool { return w.Control(4).State().Version == 3 })
+	before := w.Control(1).State().Slot
 	var all sync.WaitGroup
 	for _, name := range []string{"1", "2", "3", "4"} {
-		n := w.nodes[name]
-		delete(w.nodes, name)
+		n := w.Nodes[name]
+		delete(w.Nodes, name)
 		n.Draining.Store(true)
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			at := time.Now()
-			n.drain()
+			n.Drain()
 			if took := time.Since(at); took > time.Second {
 				t.Errorf("hut %s took %v", name, took)
 			}
-			if s := n.control.State(); s.Slot != before {
+			if s := n.Control().State(); s.Slot != before {
 				t.Errorf("hut %s: a place was given: %v", name, s.Voters)
 			}
-			n.control.loop.Close()
+			n.Control().loop.Close()
 		}()
 	}
 	all.Wait()
 	for n := 1; n <= 3; n++ {
-		w.run(n, false, 1, 2, 3)
+		w.Run(n, false, 1, 2, 3)
 	}
-	w.eventually("it is read back", func() bool {
-		st, body := w.control(1, "GET", "", "")
-		return st == 200 && body == configBody(3, "s1")
+	w.Eventually("it is read back", func() bool {
+		st, body := w.PutConfiguration(1, "GET", "", "")
+		return st == 200 && body == ConfigurationBody(3, "s1")
 	})
 }
 
 // A newcomer dies right after it was voted in; the one that stood by follows.
 // Then a disk is lost, twice.
 func TestNewcomerDies(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	w.stop("3")
-	w.run(4, false, 1)
-	w.eventually("the first has the place", func() bool { return w.votes(1, 4) })
-	w.run(5, false, 2)
-	w.wipe(4)
-	w.eventually("the second follows", func() bool { return w.votes(2, 5) })
+	w := ControlNodes(t, 1, 1, 2, 3)
+	w.Kill("3")
+	w.Run(4, false, 1)
+	w.Eventually("the first has the place", func() bool { return w.IsVoter(1, 4) })
+	w.Run(5, false, 2)
+	w.Wipe(4)
+	w.Eventually("the second follows", func() bool { return w.IsVoter(2, 5) })
 	for range 2 {
-		w.wipe(2)
-		w.run(2, false, 1)
+		w.Wipe(2)
+		w.Run(2, false, 1)
 	}
-	w.eventually("the lost disk votes again", func() bool { return w.votes(1, 2) })
-	w.stop("1")
-	w.eventually("two of three read", func() bool {
-		st, body := w.control(5, "GET", "", "")
-		return st == 200 && body == configBody(3, "s1")
+	w.Eventually("the lost disk votes again", func() bool { return w.IsVoter(1, 2) })
+	w.Kill("1")
+	w.Eventually("two of three read", func() bool {
+		st, body := w.PutConfiguration(5, "GET", "", "")
+		return st == 200 && body == ConfigurationBody(3, "s1")
 	})
 }
 
@@ -356,23 +297,23 @@
 // A newcomer that answers, but whose disk takes nothing, gets no vote; and a
 // change of voters is not done while their majority lacks it on disk.
 func TestVotesAreOnDiskFirst(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	w.run(4, false, 1)
-	w.eventually("the newcomer stands by", func() bool { return w.hut(4).State().Version == 3 })
-	h := w.hut(1)
+	w := ControlNodes(t, 1, 1, 2, 3)
+	w.Run(4, false, 1)
+	w.Eventually("the newcomer stands by", func() bool { return w.Control(4).State().Version == 3 })
+	h := w.Control(1)
 	s := h.State()
 	if !h.majorityDurable(s, time.Now().Add(time.Second)) {
 		t.Fatal("a set that all have is not on disk")
 	}
-	w.hut(4).store.Close(time.Second)
-	w.stop("3")
-	w.eventually("the lost one's place is free", func() bool {
-		return len(h.memberReport().Suspected) == 1 && len(w.hut(2).memberReport().Suspected) == 1
+	w.Control(4).store.Close(time.Second)
+	w.Kill("3")
+	w.Eventually("the lost one's place is free", func() bool {
+		return len(h.memberReport().Suspected) == 1 && len(w.Control(2).memberReport().Suspected) == 1
 	})
-	if say := h.handleJoin(JoinRequest{w.hut(4).acceptor.ID, w.ip(4), w.hut(4).waitDurable()}); say.Votes || w.votes(1, 4) || w.votes(2, 4) {
+	if say := h.handleJoin(JoinRequest{w.Control(4).ID(), w.IP(4), w.Control(4).waitDurable()}); say.Votes || w.IsVoter(1, 4) || w.IsVoter(2, 4) {
 		t.Fatal("a vote for one whose disk takes nothing")
 	}
-	w.hut(2).store.Close(time.Second)
+	w.Control(2).store.Close(time.Second)
 	if h.majorityDurable(s, time.Now().Add(300*time.Millisecond)) {
 		t.Fatal("one disk of three is called a majority")
 	}
@@ -381,16 +322,16 @@
 // A value that one voter accepted from a proposer that is gone is brought to
 // an end, though nobody reads or orders anything.
 func TestBegunIsFinished(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	w.at(3, 1, 2, 3)
-	h := w.hut(2)
-	body := configBody(9, "s1")
+	w := ControlNodes(t, 1, 1, 2, 3)
+	waitVersion(w, 3, 1, 2, 3)
+	h := w.Control(2)
+	body := ConfigurationBody(9, "s1")
 	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: body}}}
 	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
 	}
-	w.at(9, 1, 2, 3)
-	if s := w.hut(3).State(); s.Body != body {
+	waitVersion(w, 9, 1, 2, 3)
+	if s := w.Control(3).State(); s.Body != body {
 		t.Errorf("the outcome is %s", s.Body)
 	}
 }
@@ -398,9 +339,9 @@
 // A member that leaves has decided what it alone accepted, without waiting for
 // its turn among the orders, and though nobody takes its place.
 func TestLeavingDecidesWhatItAccepted(t *testing.T) {
-	w := core(t, 1, 1, 2, 3)
-	w.at(3, 1, 2, 3)
-	h, n, body := w.hut(3), w.nodes["3"], configBody(9, "s1")
+	w := ControlNodes(t, 1, 1, 2, 3)
+	waitVersion(w, 3, 1, 2, 3)
+	h, n, body := w.Control(3), w.Nodes["3"], ConfigurationBody(9, "s1")
 	m := ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: body, RequestFingerprint: "x"}}}
 	if say, err := h.handleConsensus(m); err != nil || !say.OK {
 		t.Fatalf("not accepted: %+v %v", say, err)
@@ -408,12 +349,45 @@
 	// An order has the turn all the while.
 	h.proposalLock.Lock()
 	defer h.proposalLock.Unlock()
-	delete(w.nodes, "3")
-	n.drain()
+	delete(w.Nodes, "3")
+	n.Drain()
 	for _, k := range []int{1, 2} {
-		if s := w.hut(k).State(); s.Version != 9 || s.Body != body {
+		if s := w.Control(k).State(); s.Version != 9 || s.Body != body {
 			t.Errorf("hut %d is at version %d", k, s.Version)
 		}
 	}
 	h.loop.Close()
 }
+
+// startChanges sends changes to the huts from several operators until it is ended;
+// that returns the newest acknowledged version.
+func startChanges(w *Cluster, huts ...int) (end func() int64) {
+	// Looked up once: the town's nodes change meanwhile.
+	var at []*ControlServer
+	for _, n := range huts {
+		at = append(at, w.Control(n))
+	}
+	var mu sync.Mutex
+	newest := int64(3)
+	// There is never a moment without an order that waits for its turn.
+	endTurns := Repeat(3*len(at), func(i int) {
+		h := at[i%len(at)]
+		h.proposalLock.Lock()
+		time.Sleep(5 * time.Millisecond)
+		h.proposalLock.Unlock()
+	})
+	endOrders := Repeat(8, func(i int) {
+		n := huts[i%len(huts)]
+		if i >= 4 {
+			_, _ = w.Operate(n, "POST", "/-/purge", "", `{"Tag":"x"}`)
+			return
+		}
+		on := at[i%len(at)].State().Version
+		if st, _ := w.PutConfiguration(n, "PUT", fmt.Sprint(on), ConfigurationBody(int(on)+1+i, "s1")); st == 200 {
+			mu.Lock()
+			newest = max(newest, on+1+int64(i))
+			mu.Unlock()
+		}
+	})
+	return func() int64 { endTurns(); endOrders(); return newest }
+}
--- a/internal/lodge/messages.go
+++ b/internal/lodge/messages.go
@@ -1,6 +1,7 @@
 package lodge
 
 import (
+	"strings"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
 	"swiftswitch/internal/lease"
@@ -258,17 +259,13 @@
 	Nodes []peersampling.Node `json:"Nodes"`
 }
 
-// instancePage is a page of the platform's list.
-type instancePage struct {
-	Instances []struct {
-		InstanceID      string  `json:"InstanceId"`
-		Service         string  `json:"Service"`
-		Address         string  `json:"Address"`
-		Zone            string  `json:"Zone"`
-		Version         string  `json:"Version"`
-		Slots           int     `json:"Slots"`
-		State           string  `json:"State"`
-		ColdRemainingMs float64 `json:"ColdRemainingMs"`
-	} `json:"Instances"`
-	NextPageToken *string `json:"NextPageToken"`
+// UnreachableReport is what a front tells: the entries of searchers that did not answer it.
+type UnreachableReport struct {
+	Name string  `json:"Name"`
+	Dark []int64 `json:"Dark"`
+}
+
+// IsRolloutPath tells whether a path is one of the operator's for rollouts.
+func IsRolloutPath(path string) bool {
+	return path == PathRollouts || strings.HasPrefix(path, PathRollouts+"/")
 }
--- a/internal/lodge/node.go
+++ b/internal/lodge/node.go
@@ -80,6 +80,26 @@
 	return n, nil
 }
 
+// Control is the node's control server, nil where it has none.
+func (n *Node) Control() *ControlServer { return n.control }
+
+// Front is the node's front server, nil where it has none.
+func (n *Node) Front() *FrontServer { return n.front }
+
+// Close ends the node at once, without draining, as a kill of its process would.
+func (n *Node) Close() {
+	close(n.Stopping)
+	for _, ln := range n.listeners {
+		_ = ln.Close()
+	}
+	if n.front != nil {
+		n.front.Close()
+	}
+	if n.control != nil {
+		n.control.Close(time.Second)
+	}
+}
+
 // Start listens and starts the controllers.
 func (n *Node) Start() bool {
 	n.ViewLoop.Call(n.checkPause)
@@ -109,7 +129,7 @@
 		if !ok {
 			return false
 		}
-		handle := n.handleInternal
+		handle := n.HandleInternal
 		if i > 0 {
 			handle = n.handleOperator
 		}
@@ -119,8 +139,8 @@
 	return true
 }
 
-// handleInternal takes the calls of other nodes, and control calls as well.
-func (n *Node) handleInternal(ctx context.Context, c *app.RequestContext) {
+// HandleInternal takes the calls of other nodes, and control calls as well.
+func (n *Node) HandleInternal(ctx context.Context, c *app.RequestContext) {
 	switch string(c.Request.URI().PathOriginal()) {
 	case PathShuffle:
 		n.handleShuffle(c)
@@ -145,9 +165,9 @@
 	path, m := string(c.Request.URI().PathOriginal()), string(c.Request.Header.Method())
 	rollout := IsRolloutPath(path)
 	if n.control != nil && m != "GET" {
-		n.control.ordersInFlight.Add(1)
-		defer n.control.ordersInFlight.Add(-1)
-		if n.control.closing.Load() {
+		end, ok := n.control.BeginChange()
+		defer end()
+		if !ok {
 			c.Response.Header.Set("Retry-After", "0.2")
 			transport.WriteJSON(c, 503, map[string]string{"Error": "this node leaves"})
 			return
--- a/internal/lodge/orders.go
+++ b/internal/lodge/orders.go
@@ -57,7 +57,7 @@
 	// A change is known as late by its base: one that came directly may be tried
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
-	if len(c.Request.Header.Peek(headerForwardedBy)) == 0 {
+	if len(c.Request.Header.Peek(HeaderForwardedBy)) == 0 {
 		settleBy = time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.8))
 	}
 	status, text := h.changeConfiguration(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
--- a/internal/lodge/pack.go
+++ b/internal/lodge/pack.go
@@ -3,17 +3,14 @@
 import (
 	"bytes"
 	"compress/gzip"
-	"encoding/json"
 	"io"
 	"math/bits"
 
-	"swiftswitch/internal/endpoints"
-
 	"github.com/klauspost/compress/zstd"
 )
 
-// GzipPack makes the packed form of what goes to many nodes alike.
-func GzipPack(raw []byte) []byte {
+// Gzip makes the packed form of what goes to many nodes alike.
+func Gzip(raw []byte) []byte {
 	var buf bytes.Buffer
 	z := gzip.NewWriter(&buf)
 	_, _ = z.Write(raw)
@@ -21,8 +18,8 @@
 	return buf.Bytes()
 }
 
-// GzipUnpack reads it, up to most bytes.
-func GzipUnpack(packed []byte, most int) ([]byte, error) {
+// Gunzip reads it, up to most bytes.
+func Gunzip(packed []byte, most int) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
@@ -40,18 +37,18 @@
 
 const ErrTooLarge = packError("the message is too large when unpacked")
 
-// dictionary names the base of what packOn makes.
-const dictionary = 1
+// DeltaDictionaryID names the base of what packOn makes.
+const DeltaDictionaryID = 1
 
-// PackDelta gives raw byte for byte as what it adds to a base that the receiver
+// CompressDelta gives raw byte for byte as what it adds to a base that the receiver
 // holds as well: a delta. A base that has little to do with it costs nothing.
-func PackDelta(base, raw string) ([]byte, error) {
+func CompressDelta(base, raw string) ([]byte, error) {
 	o := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithEncoderLevel(zstd.SpeedDefault),
 		zstd.WithWindowSize(max(zstd.MinWindowSize, 1<<bits.Len(uint(len(base)+len(raw))))),
 	}
 	if base != "" {
-		o = append(o, zstd.WithEncoderDictRaw(dictionary, []byte(base)))
+		o = append(o, zstd.WithEncoderDictRaw(DeltaDictionaryID, []byte(base)))
 	}
 	z, err := zstd.NewWriter(nil, o...)
 	if err != nil {
@@ -61,11 +58,11 @@
 	return z.EncodeAll([]byte(raw), nil), nil
 }
 
-// UnpackDelta reads it, up to most bytes; what was made on another base is an error.
-func UnpackDelta(base string, packed []byte, most int) (string, error) {
+// DecompressDelta reads it, up to most bytes; what was made on another base is an error.
+func DecompressDelta(base string, packed []byte, most int) (string, error) {
 	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(most))}
 	if base != "" {
-		o = append(o, zstd.WithDecoderDictRaw(dictionary, []byte(base)))
+		o = append(o, zstd.WithDecoderDictRaw(DeltaDictionaryID, []byte(base)))
 	}
 	z, err := zstd.NewReader(nil, o...)
 	if err != nil {
@@ -75,13 +72,3 @@
 	raw, err := z.DecodeAll(packed, nil)
 	return string(raw), err
 }
-
-// UnpackTableDelta reads a change of the table.
-func UnpackTableDelta(packed []byte, most int) (*endpoints.Delta, error) {
-	raw, err := GzipUnpack(packed, most)
-	if err != nil {
-		return nil, err
-	}
-	d := &endpoints.Delta{}
-	return d, json.Unmarshal(raw, d)
-}
--- a/internal/lodge/pack_test.go
+++ b/internal/lodge/pack_test.go
@@ -24,29 +24,29 @@
 	old := body(1)
 	routes[700], routes = route(0), append(routes, route(1))
 	now := body(2)
-	packed, err := PackDelta(old, now)
+	packed, err := CompressDelta(old, now)
 	if err != nil || len(packed) > 900 {
 		t.Fatalf("%d bytes of %d: %v", len(packed), len(now), err)
 	}
-	if got, err := UnpackDelta(old, packed, 1<<20); err != nil || got != now {
+	if got, err := DecompressDelta(old, packed, 1<<20); err != nil || got != now {
 		t.Fatal("it does not come out", err)
 	}
 	for _, base := range []string{"", now, strings.Replace(old, "safe", "sage", -1)} {
-		if got, err := UnpackDelta(base, packed, 1<<20); err == nil && got == now {
+		if got, err := DecompressDelta(base, packed, 1<<20); err == nil && got == now {
 			t.Fatal("it comes out of another base")
 		} else if err == nil {
 			t.Fatal("another base is no error")
 		}
 	}
-	if _, err := UnpackDelta(old, packed, 10<<10); err == nil {
+	if _, err := DecompressDelta(old, packed, 10<<10); err == nil {
 		t.Fatal("there is no bound")
 	}
 	for _, raw := range []string{"", "x", now} {
-		packed, err := PackDelta("", raw)
+		packed, err := CompressDelta("", raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := UnpackDelta("", packed, 1<<20); err != nil || got != raw {
+		if got, err := DecompressDelta("", packed, 1<<20); err != nil || got != raw {
 			t.Fatal("whole bodies don't come out", err)
 		}
 	}
--- a/internal/lodge/patience.go
+++ b/internal/lodge/patience.go
@@ -16,10 +16,6 @@
 // other orders when the first answers at last. So each call is settled within
 // its caller's patience, or not at all.
 
-// headerTimeLeft tells, on a call that was passed on, how much of its caller's
-// patience is left.
-const headerTimeLeft = "Swiftswitch-Patience-Milliseconds"
-
 // Of AcknowledgeMs: how long a caller waits for an answer, what each 64 KiB of
 // a body add to that, and the most that it can be.
 const (
@@ -67,7 +63,7 @@
 		// A change that comes late is known by its base: sent again, it is found settled.
 		own *= changeTimeoutFactor
 	}
-	return time.Now().Add(timeLeft(own, string(c.Request.Header.Peek(headerTimeLeft))))
+	return time.Now().Add(timeLeft(own, string(c.Request.Header.Peek(HeaderTimeLeft))))
 }
 
 // pauseDetector notices that the node stood still (it was frozen, or got no processor
@@ -158,13 +154,11 @@
 	return yes
 }
 
-const headerForwardedBy = "Swiftswitch-Passed-On"
-
 // forward sends a control call on to a node that may settle it, once: to the
 // best known first, to another one too while there is no answer. All that
 // happens within the caller's patience.
 func (n *Node) forward(c *app.RequestContext, path string, until time.Time) {
-	if len(c.Request.Header.Peek(headerForwardedBy)) > 0 {
+	if len(c.Request.Header.Peek(HeaderForwardedBy)) > 0 {
 		n.WriteUnavailable(c, "this node has no state yet")
 		return
 	}
@@ -189,7 +183,7 @@
 		ips = ips[1:]
 		last = ip
 		waits++
-		hd := map[string]string{headerForwardedBy: n.Settings().NodeName, headerTimeLeft: strconv.FormatInt(left.Milliseconds(), 10)}
+		hd := map[string]string{HeaderForwardedBy: n.Settings().NodeName, HeaderTimeLeft: strconv.FormatInt(left.Milliseconds(), 10)}
 		if match != "" {
 			hd["If-Match"] = match
 		}
--- a/internal/lodge/poll.go
+++ b/internal/lodge/poll.go
@@ -146,7 +146,7 @@
 		if rep.Status != 200 {
 			return nil, fmt.Errorf("status %d", rep.Status)
 		}
-		var p instancePage
+		var p DiscoveryPage
 		if err := json.Unmarshal(rep.Body, &p); err != nil {
 			return nil, err
 		}
@@ -167,3 +167,18 @@
 	}
 	return nil, errors.New("the list has no end")
 }
+
+// DiscoveryPage is a page of the platform's list.
+type DiscoveryPage struct {
+	Instances []struct {
+		InstanceID      string  `json:"InstanceId"`
+		Service         string  `json:"Service"`
+		Address         string  `json:"Address"`
+		Zone            string  `json:"Zone"`
+		Version         string  `json:"Version"`
+		Slots           int     `json:"Slots"`
+		State           string  `json:"State"`
+		ColdRemainingMs float64 `json:"ColdRemainingMs"`
+	} `json:"Instances"`
+	NextPageToken *string `json:"NextPageToken"`
+}
--- a/internal/lodge/purge.go
+++ b/internal/lodge/purge.go
@@ -15,7 +15,7 @@
 // purgeMost bounds how many purges one slot decides, purgeSize an order in bytes.
 const (
 	maxPurgeBatch = 64
-	maxPurgeBytes = 64 << 10
+	MaxPurgeBytes = 64 << 10
 )
 
 type pendingPurge struct {
@@ -30,7 +30,7 @@
 // no name on the wire, so one that is sent again may purge again: copies are
 // dropped and fetched once more, and nothing older comes of it.
 func (h *ControlServer) HandlePurge(c *app.RequestContext, until time.Time) {
-	if len(c.Request.Body()) > maxPurgeBytes {
+	if len(c.Request.Body()) > MaxPurgeBytes {
 		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
 		return
 	}
--- a/internal/lodge/rollout.go
+++ b/internal/lodge/rollout.go
@@ -52,11 +52,6 @@
 	}
 }
 
-// IsRolloutPath tells whether a path is one of the operator's for rollouts.
-func IsRolloutPath(path string) bool {
-	return path == PathRollouts || strings.HasPrefix(path, PathRollouts+"/")
-}
-
 // rolloutRunning tells whether an order is not settled; it runs on the desk.
 func (h *ControlServer) rolloutRunning(order int64) bool {
 	return slices.ContainsFunc(h.acceptor.State.Rollouts, func(r consensus.Rollout) bool { return r.OrderSlot == order && r.Running() })
@@ -96,7 +91,7 @@
 // persistTerms keeps on disk how much of the terms is over; it runs on the desk.
 func (h *ControlServer) persistTerms(now time.Duration) {
 	h.rollouts.termsNotedAt = now
-	h.writeRecord(recordTerms, h.rollouts.clock.Note(h.rolloutRunning, time.Now(), now), nil)
+	h.writeRecord(RecordTerms, h.rollouts.clock.Note(h.rolloutRunning, time.Now(), now), nil)
 }
 
 // onRolloutReport takes what a front saw; it runs on the desk.
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -1,6 +1,7 @@
 package lodge
 
 import (
+	"context"
 	"crypto/sha256"
 	"encoding/json"
 	"fmt"
@@ -10,34 +11,39 @@
 	"net/http/httptest"
 	"os"
 	"sort"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"swiftswitch/internal/config"
+	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/host"
+	"swiftswitch/internal/transport"
+
+	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// searcher stands in for one searcher.
-type searcher struct {
+// Searcher stands in for one searcher.
+type Searcher struct {
 	id, service string
 	zone        string
 	version     string
-	srv         *httptest.Server
-	mu          sync.Mutex
-	runs        []string
+	Server      *httptest.Server
+	Mu          sync.Mutex
+	Runs        []string
 	mode        string // "", "500", "cut", "notrun", "slow", "surplus", "nostamp"
-	// object is the version of the objects that an origin serves; 0: it is none.
-	object int
+	// ObjectVersion is the version of the objects that an origin serves; 0: it is none.
+	ObjectVersion int
 }
 
-func (s *searcher) set(mode string) { s.mu.Lock(); s.mode = mode; s.mu.Unlock() }
+func (s *Searcher) SetMode(mode string) { s.Mu.Lock(); s.mode = mode; s.Mu.Unlock() }
 
-func (s *searcher) ran() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.runs) }
+func (s *Searcher) Ran() int { s.Mu.Lock(); defer s.Mu.Unlock(); return len(s.Runs) }
 
-// records are the same for all searchers of a service.
-func records(service string) []byte {
+// Records are the same for all searchers of a service.
+func Records(service string) []byte {
 	var out []byte
 	for i := byte(0); i < 5; i++ {
 		h := sha256.Sum256(append([]byte(service), i))
@@ -46,20 +52,20 @@
 	return out
 }
 
-func (s *searcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Searcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if e := r.Header.Get("Swiftswitch-Expected-Instance"); e != s.id {
 		w.WriteHeader(421)
 		return
 	}
-	s.mu.Lock()
+	s.Mu.Lock()
 	mode := s.mode
 	id := r.Header.Get("Swiftswitch-Request-Id")
 	if mode != "notrun" {
-		s.runs = append(s.runs, r.Method+" "+r.RequestURI+" "+id+" "+string(body))
+		s.Runs = append(s.Runs, r.Method+" "+r.RequestURI+" "+id+" "+string(body))
 	}
-	stamp := fmt.Sprintf("%s.%s.%d", s.id, id, len(s.runs))
-	s.mu.Unlock()
+	stamp := fmt.Sprintf("%s.%s.%d", s.id, id, len(s.Runs))
+	s.Mu.Unlock()
 	if mode != "nostamp" {
 		w.Header().Set("Swiftswitch-Server-Stamp", stamp)
 	}
@@ -81,15 +87,15 @@
 		return
 	case "surplus":
 		c, _, _ := w.(http.Hijacker).Hijack()
-		b := records(s.service)
+		b := Records(s.service)
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: %s\r\nContent-Length: %d\r\n\r\n%sHTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: old\r\nContent-Length: 0\r\n\r\n", stamp, len(b), b)
 		time.Sleep(50 * time.Millisecond)
 		_ = c.Close()
 		return
 	}
-	s.mu.Lock()
-	object := s.object
-	s.mu.Unlock()
+	s.Mu.Lock()
+	object := s.ObjectVersion
+	s.Mu.Unlock()
 	if object > 0 {
 		tag := fmt.Sprintf("%q", fmt.Sprint("v", object))
 		w.Header().Set("ETag", tag)
@@ -103,55 +109,55 @@
 	}
 	w.Header().Set("X-Kept", "1")
 	w.Header().Add("X-Kept", "2")
-	_, _ = w.Write(records(s.service))
-}
-
-// town is a whole deployment on loopback: nodes, searchers and the platform's list.
-type town struct {
-	t        *testing.T
-	mu       sync.Mutex
-	list     map[string]*searcher
-	state    map[string]string
-	platform *httptest.Server
-	nodes    map[string]*Node
-	dirs     map[string]string
-	// losses is how many machines may be lost at once.
-	losses int
-	port   int
-	net    string
-}
-
-var townNumber = byte(10)
-
-func newTown(t *testing.T) *town {
-	townNumber++
-	w := &town{t: t, list: map[string]*searcher{}, state: map[string]string{}, nodes: map[string]*Node{}, dirs: map[string]string{}, net: fmt.Sprintf("127.%d.%d.", 7+os.Getpid()%240, townNumber)}
-	l, err := net.Listen("tcp4", w.net+"200:0")
+	_, _ = w.Write(Records(s.service))
+}
+
+// Cluster is a whole deployment on loopback: nodes, searchers and the platform's list.
+type Cluster struct {
+	T         *testing.T
+	mu        sync.Mutex
+	Searchers map[string]*Searcher
+	state     map[string]string
+	platform  *httptest.Server
+	Nodes     map[string]*Node
+	DataDirs  map[string]string
+	// ToleratedLosses is how many machines may be lost at once.
+	ToleratedLosses int
+	Port            int
+	subnet          string
+}
+
+var clusterNumber = byte(10)
+
+func New(t *testing.T) *Cluster {
+	clusterNumber++
+	w := &Cluster{T: t, Searchers: map[string]*Searcher{}, state: map[string]string{}, Nodes: map[string]*Node{}, DataDirs: map[string]string{}, subnet: fmt.Sprintf("127.%d.%d.", 7+os.Getpid()%240, clusterNumber)}
+	l, err := net.Listen("tcp4", w.subnet+"200:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.port = l.Addr().(*net.TCPAddr).Port
+	w.Port = l.Addr().(*net.TCPAddr).Port
 	_ = l.Close()
-	w.platform = httptest.NewServer(http.HandlerFunc(w.instances))
+	w.platform = httptest.NewServer(http.HandlerFunc(w.serveDiscovery))
 	t.Cleanup(func() {
-		for name := range w.nodes {
-			w.stop(name)
+		for name := range w.Nodes {
+			w.Kill(name)
 		}
 		w.platform.Close()
-		for _, s := range w.list {
-			s.srv.CloseClientConnections()
-			s.srv.Close()
+		for _, s := range w.Searchers {
+			s.Server.CloseClientConnections()
+			s.Server.Close()
 		}
 	})
 	return w
 }
 
-// instances answers in pages of three.
-func (w *town) instances(rw http.ResponseWriter, r *http.Request) {
+// serveDiscovery answers in pages of three.
+func (w *Cluster) serveDiscovery(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []string
-	for id := range w.list {
+	for id := range w.Searchers {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
@@ -160,8 +166,8 @@
 	page := map[string]any{"NextPageToken": nil}
 	var out []map[string]any
 	for i := from; i < len(ids) && i < from+3; i++ {
-		s := w.list[ids[i]]
-		out = append(out, map[string]any{"InstanceId": s.id, "Service": s.service, "Address": s.srv.Listener.Addr().String(), "Zone": s.zone, "Slots": 2, "State": w.state[s.id], "ColdRemainingMs": 0, "Version": s.version})
+		s := w.Searchers[ids[i]]
+		out = append(out, map[string]any{"InstanceId": s.id, "Service": s.service, "Address": s.Server.Listener.Addr().String(), "Zone": s.zone, "Slots": 2, "State": w.state[s.id], "ColdRemainingMs": 0, "Version": s.version})
 	}
 	if from+3 < len(ids) {
 		page["NextPageToken"] = fmt.Sprintf("p-%d", from+3)
@@ -170,43 +176,43 @@
 	_ = json.NewEncoder(rw).Encode(page)
 }
 
-func (w *town) searcher(service, id string) *searcher {
-	s := &searcher{id: id, service: service, zone: "z1", version: "v1"}
+func (w *Cluster) AddSearcher(service, id string) *Searcher {
+	s := &Searcher{id: id, service: service, zone: "z1", version: "v1"}
 	if strings.HasSuffix(id, "-new") {
 		s.version = "v2"
 	}
 	if strings.HasSuffix(id, "-far") {
 		s.zone = "z2"
 	}
-	s.srv = httptest.NewServer(s)
+	s.Server = httptest.NewServer(s)
 	w.mu.Lock()
-	w.list[id], w.state[id] = s, "ready"
+	w.Searchers[id], w.state[id] = s, "ready"
 	w.mu.Unlock()
 	return s
 }
 
-func (w *town) mark(id, state string) { w.mu.Lock(); w.state[id] = state; w.mu.Unlock() }
+func (w *Cluster) SetSearcherState(id, state string) { w.mu.Lock(); w.state[id] = state; w.mu.Unlock() }
 
-func (w *town) ip(n int) string { return fmt.Sprintf("%s%d", w.net, n) }
+func (w *Cluster) IP(n int) string { return fmt.Sprintf("%s%d", w.subnet, n) }
 
-// settings of node n; huts have numbers below 10.
-func (w *town) settings(n int, first bool, seeds ...int) *config.Settings {
-	serves, listen, data := "front", fmt.Sprintf("FrontAddress: %q\n  ReadinessAddress: %q", w.ip(n)+":8080", w.ip(n)+":8081"), ""
+// Settings of node n; huts have numbers below 10.
+func (w *Cluster) Settings(n int, first bool, seeds ...int) *config.Settings {
+	serves, listen, data := "front", fmt.Sprintf("FrontAddress: %q\n  ReadinessAddress: %q", w.IP(n)+":8080", w.IP(n)+":8081"), ""
 	if n > 20 {
 		serves, listen = "", ""
 		name := fmt.Sprint("larder-", n)
-		if w.dirs[name] == "" {
-			w.dirs[name] = w.t.TempDir()
+		if w.DataDirs[name] == "" {
+			w.DataDirs[name] = w.T.TempDir()
 		}
-		data = w.dirs[name]
+		data = w.DataDirs[name]
 	}
 	if n < 10 {
-		serves, listen = "control", fmt.Sprintf("ControlAddress: %q", w.ip(n)+":8090")
+		serves, listen = "control", fmt.Sprintf("ControlAddress: %q", w.IP(n)+":8090")
 		name := fmt.Sprint("hut-", n)
-		if w.dirs[name] == "" {
-			w.dirs[name] = w.t.TempDir()
+		if w.DataDirs[name] == "" {
+			w.DataDirs[name] = w.T.TempDir()
 		}
-		data = w.dirs[name]
+		data = w.DataDirs[name]
 	}
 	zone := "z1"
 	if n == 12 {
@@ -214,73 +220,61 @@
 	}
 	var l []string
 	for _, s := range seeds {
-		l = append(l, fmt.Sprintf("%q", w.ip(s)+":8090"))
+		l = append(l, fmt.Sprintf("%q", w.IP(s)+":8090"))
 	}
 	text := fmt.Sprintf(`{NodeName: "node-%d", IpAddress: %q, Zone: %s, Serves: [%s], InternalPortRange: [%d, %d], SeedNodes: [%s], FirstStart: %v, DataDirectory: %q, HeartbeatIntervalMs: 300, ToleratedLosses: {Machines: %d},
  ListenAddresses: {%s},
  Bounds: {InTouchMs: 1000, AcknowledgeMs: 2500, CatchUpS: 1, DrainMs: 800, GraceS: 1, ConfigEffectMs: 1000, RetryBudgetRatio: 0.5, RetryWindowS: 2, RetryBudgetSlack: 100, ExposureShare: 0.3, ExposureSlack: 50, RollbackMs: 1500}, CloudApi: {Address: %q}}`,
-		n, w.ip(n), zone, serves, w.port, w.port+10, strings.Join(l, ","), first, data, w.losses, strings.ReplaceAll(listen, "\n", ","), w.platform.Listener.Addr().String())
+		n, w.IP(n), zone, serves, w.Port, w.Port+10, strings.Join(l, ","), first, data, w.ToleratedLosses, strings.ReplaceAll(listen, "\n", ","), w.platform.Listener.Addr().String())
 	s, err := config.ParseSettings([]byte(text))
 	if err != nil {
-		w.t.Fatalf("settings: %v\n%s", err, text)
+		w.T.Fatalf("settings: %v\n%s", err, text)
 	}
 	return s
 }
 
-func (w *town) run(n int, first bool, seeds ...int) *Node {
-	w.t.Helper()
+func (w *Cluster) Run(n int, first bool, seeds ...int) *Node {
+	w.T.Helper()
 	opt := host.DefaultOptions()
 	// Orders get long terms, for slow machines, and are tried early in them.
 	opt.Rollout.TrialAt = 0.1
 	if n > 20 {
 		opt.Role = host.RoleCache
 	}
-	node, err := Open(w.settings(n, first, seeds...), "", opt)
+	node, err := Open(w.Settings(n, first, seeds...), "", opt)
 	if err != nil {
-		w.t.Fatal(err)
+		w.T.Fatal(err)
 	}
 	if !node.Start() {
-		w.t.Fatal("a node does not listen")
+		w.T.Fatal("a node does not listen")
 	}
-	w.nodes[fmt.Sprint(n)] = node
+	w.Nodes[fmt.Sprint(n)] = node
 	return node
 }
 
-// stop ends a node at once.
-func (w *town) stop(name string) {
-	n := w.nodes[name]
+// Kill ends a node at once.
+func (w *Cluster) Kill(name string) {
+	n := w.Nodes[name]
 	if n == nil {
 		return
 	}
-	delete(w.nodes, name)
-	close(n.Stopping)
-	for _, l := range n.listeners {
-		l.Close()
-	}
-	if n.front != nil {
-		if l := n.front.listener.Load(); l != nil {
-			(*l).Close()
-		}
-	}
-	if n.control != nil {
-		n.control.store.Close(time.Second)
-		n.control.loop.Close()
-	}
+	delete(w.Nodes, name)
+	n.Close()
 }
 
-// eventually waits until f is true.
-func (w *town) eventually(what string, f func() bool) {
-	w.t.Helper()
+// Eventually waits until f is true.
+func (w *Cluster) Eventually(what string, f func() bool) {
+	w.T.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	w.t.Fatalf("not in time: %s", what)
+	w.T.Fatalf("not in time: %s", what)
 }
 
 // config is a configuration with a gathered route over shards, a safe and an unsafe plain one.
-func configBody(version int, shards ...string) string {
+func ConfigurationBody(version int, shards ...string) string {
 	var names, services []string
 	services = append(services, `{"Name":"origin","HealthPath":"/health","ConnectionLimit":60,"RequestsPerS":40}`)
 	for _, s := range append([]string{"plain"}, shards...) {
@@ -298,15 +292,15 @@
 		version, strings.Join(names, ","), strings.Join(services, ","))
 }
 
-func (w *town) control(n int, method, match, body string) (int, string) {
-	return w.operate(n, method, "/-/configuration", match, body)
+func (w *Cluster) PutConfiguration(n int, method, match, body string) (int, string) {
+	return w.Operate(n, method, "/-/configuration", match, body)
 }
 
-// operate sends a call of the operator to node n.
-func (w *town) operate(n int, method, path, match, body string) (int, string) {
-	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:8090%s", w.ip(n), path), strings.NewReader(body))
+// Operate sends a call of the operator to node n.
+func (w *Cluster) Operate(n int, method, path, match, body string) (int, string) {
+	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:8090%s", w.IP(n), path), strings.NewReader(body))
 	if n >= 10 {
-		req.URL.Host = fmt.Sprintf("%s:%d", w.ip(n), w.port)
+		req.URL.Host = fmt.Sprintf("%s:%d", w.IP(n), w.Port)
 	}
 	if match != "" {
 		req.Header.Set("If-Match", match)
@@ -322,21 +316,21 @@
 
 var requestNumber int
 
-// ask sends a client's request to front n.
-func (w *town) ask(n int, method, path, body string) (*http.Response, []byte, string) {
+// Request sends a client's request to front n.
+func (w *Cluster) Request(n int, method, path, body string) (*http.Response, []byte, string) {
 	requestNumber++
 	id := fmt.Sprintf("r%05d", requestNumber)
-	return w.askAs(n, method, path, body, id)
+	return w.RequestAs(n, method, path, body, id)
 }
 
-// send is ask for many at once; it tells the status alone.
-func (w *town) send(n int, method, path, body, id string) int {
-	r, _, _ := w.askAs(n, method, path, body, id)
+// RequestStatus is ask for many at once; it tells the status alone.
+func (w *Cluster) RequestStatus(n int, method, path, body, id string) int {
+	r, _, _ := w.RequestAs(n, method, path, body, id)
 	return r.StatusCode
 }
 
-func (w *town) askAs(n int, method, path, body, id string) (*http.Response, []byte, string) {
-	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:8080%s", w.ip(n), path), strings.NewReader(body))
+func (w *Cluster) RequestAs(n int, method, path, body, id string) (*http.Response, []byte, string) {
+	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:8080%s", w.IP(n), path), strings.NewReader(body))
 	req.Host = "a.example"
 	req.Header.Set("Swiftswitch-Request-Id", id)
 	req.Header.Set("Swiftswitch-Deadline-Milliseconds", "1500")
@@ -349,11 +343,11 @@
 	return resp, b, id
 }
 
-// top is what a gathered answer of these shards must hold.
-func top(n int, shards ...string) []byte {
+// TopRecords is what a gathered answer of these shards must hold.
+func TopRecords(n int, shards ...string) []byte {
 	var recs []string
 	for _, s := range shards {
-		b := records(s)
+		b := Records(s)
 		for i := 0; i < len(b); i += 16 {
 			recs = append(recs, string(b[i:i+16]))
 		}
@@ -362,9 +356,9 @@
 	return []byte(strings.Join(recs[:n], ""))
 }
 
-// repeat has n goroutines do f again and again until end is called, which
+// Repeat has n goroutines do f again and again until end is called, which
 // returns when all have ended.
-func repeat(n int, f func(i int)) (end func()) {
+func Repeat(n int, f func(i int)) (end func()) {
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	for i := range n {
@@ -383,3 +377,200 @@
 	}
 	return func() { close(stop); done.Wait() }
 }
+
+// Start runs three huts and two fronts over two shards and a plain service.
+func Start(t *testing.T) (*Cluster, map[string]*Searcher) {
+	w := New(t)
+	s := map[string]*Searcher{}
+	for _, id := range []string{"s1-a", "s1-b", "s2-a", "s2-b", "plain-a", "plain-b"} {
+		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
+	}
+	for _, n := range []int{1, 2, 3, 11, 12} {
+		w.Run(n, true, 1, 2, 3)
+	}
+	w.Eventually("the first configuration is acknowledged", func() bool {
+		status, _ := w.PutConfiguration(2, "PUT", "0", ConfigurationBody(3, "s1", "s2"))
+		return status == 200
+	})
+	w.Eventually("the fronts are ready and know the searchers", func() bool {
+		for _, n := range []int{11, 12} {
+			if !w.FrontReady(n) {
+				return false
+			}
+			if r, _, _ := w.Request(n, "GET", "/g/x", ""); r.StatusCode != 200 || r.Header.Get("Swiftswitch-Missing-Parts") != "" {
+				return false
+			}
+			if r, _, _ := w.Request(n, "GET", "/p/x", ""); r.StatusCode != 200 {
+				return false
+			}
+		}
+		return true
+	})
+	return w, s
+}
+
+func (w *Cluster) FrontReady(n int) bool {
+	resp, err := http.Get(fmt.Sprintf("http://%s:8081/-/ready", w.IP(n)))
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode == 200
+}
+
+// ControlNodes runs three huts with a first configuration.
+func ControlNodes(t *testing.T, losses int, huts ...int) *Cluster {
+	w := New(t)
+	w.ToleratedLosses = losses
+	w.AddSearcher("plain", "plain-a")
+	for _, n := range huts {
+		w.Run(n, true, 1, 2, 3)
+	}
+	w.Eventually("the first configuration is acknowledged", func() bool {
+		status, _ := w.PutConfiguration(2, "PUT", "0", ConfigurationBody(3, "s1"))
+		return status == 200
+	})
+	return w
+}
+
+func (w *Cluster) Control(n int) *ControlServer { return w.Nodes[fmt.Sprint(n)].Control() }
+
+// IsVoter tells whether hut n has a vote, as hut by knows it.
+func (w *Cluster) IsVoter(by, n int) bool {
+	return w.Control(by).State().IsVoter(w.Control(n).ID())
+}
+
+// Wipe ends a node at once and takes its disk.
+func (w *Cluster) Wipe(n int) {
+	w.Kill(fmt.Sprint(n))
+	w.DataDirs[fmt.Sprint("hut-", n)] = w.T.TempDir()
+}
+
+// UseInternalPort lets the nodes make their calls to another port; a part of the town
+// that listens there too is cut off from the rest.
+func (w *Cluster) UseInternalPort(port int, names ...string) {
+	for _, name := range names {
+		s := *w.Nodes[name].Settings()
+		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
+		w.Nodes[name].SetSettings(&s)
+	}
+}
+
+// ListenOnPort opens a further port for the calls of other nodes.
+func (w *Cluster) ListenOnPort(port int, names ...string) {
+	for _, name := range names {
+		n := w.Nodes[name]
+		s := config.Settings{}
+		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
+		ln, ok := transport.Listen(s.InternalAddress(n.Settings().IpAddress), n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
+		if !ok {
+			w.T.Fatal("a node does not listen")
+		}
+		transport.Serve(ln, n.ServerOptions(2*time.Second), func(ctx context.Context, c *app.RequestContext) { n.HandleInternal(ctx, c) })
+		w.T.Cleanup(func() { _ = ln.Close() })
+	}
+}
+
+// StartRollout sends an order for the plain service and tells its status.
+func (w *Cluster) StartRollout(n int, target string, seconds float64) (int, string) {
+	return w.Operate(n, "POST", "/-/rollouts", "", fmt.Sprintf(`{"Service":"plain","TargetVersion":%q,"DurationS":%v}`, target, seconds))
+}
+
+// Rollout reads how far the plain service's order is.
+func (w *Cluster) Rollout(n int) (status int, r RolloutStatus) {
+	status, body := w.Operate(n, "GET", "/-/rollouts/plain", "", "")
+	_ = json.Unmarshal([]byte(body), &r)
+	return status, r
+}
+
+// WaitPhaseAtFronts waits until both fronts hold a phase of the order; a machine under load
+// may take longer to tell them than the huts wait.
+func (w *Cluster) WaitPhaseAtFronts(phase consensus.Phase) {
+	w.T.Helper()
+	w.Eventually("the fronts hold "+string(phase), func() bool {
+		for _, n := range []string{"11", "12"} {
+			if l := w.Nodes[n].Front().Snapshot().Lanes["plain"]; l == nil || l.Phase != phase {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// StartTraffic asks both fronts until the end of the test; it returns a way to
+// count the answers that were none.
+func (w *Cluster) StartTraffic() (failed func() int) {
+	stop := make(chan struct{})
+	var mu sync.Mutex
+	var done sync.WaitGroup
+	n := 0
+	for i := range 4 {
+		done.Add(1)
+		go func() {
+			defer done.Done()
+			for id := 0; ; {
+				select {
+				case <-stop:
+					return
+				case <-time.After(8 * time.Millisecond):
+				}
+				id++
+				if r := w.RequestStatus(11+i%2, "GET", "/p/x", "", fmt.Sprintf("t%d-%05d", i, id)); r != 200 {
+					mu.Lock()
+					n++
+					mu.Unlock()
+				}
+			}
+		}()
+	}
+	w.T.Cleanup(func() { close(stop); done.Wait() })
+	return func() int { mu.Lock(); defer mu.Unlock(); return n }
+}
+
+// RolloutOrder orders a rollout of the plain service.
+const RolloutOrder = `{"Service":"plain","TargetVersion":"v2","DurationS":40}`
+
+// ServeStandIn stands in for a node that a call is passed on to.
+func (w *Cluster) ServeStandIn(n int, handle http.HandlerFunc) {
+	l, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", w.IP(n), w.Port))
+	if err != nil {
+		w.T.Fatal(err)
+	}
+	srv := &http.Server{Handler: handle}
+	go func() { _ = srv.Serve(l) }()
+	w.T.Cleanup(func() { _ = srv.Close() })
+}
+
+// SendOrder sends an order and tells the answer's headers too.
+func (w *Cluster) SendOrder(n int, path, body string, header map[string]string) (status int, h http.Header) {
+	w.T.Helper()
+	req, _ := http.NewRequest("POST", fmt.Sprintf("http://%s:%d%s", w.IP(n), w.Port, path), strings.NewReader(body))
+	for k, v := range header {
+		req.Header.Set(k, v)
+	}
+	resp, err := (&http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
+	if err != nil {
+		w.T.Fatal(err)
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode, resp.Header
+}
+
+// CheckRetryAfter checks that an answer says when to come back, in a moment.
+func CheckRetryAfter(t *testing.T, h http.Header) {
+	t.Helper()
+	if s, err := strconv.ParseFloat(h.Get("Retry-After"), 64); err != nil || s <= 0 || s > 0.5 {
+		t.Errorf("Retry-After is %q", h.Get("Retry-After"))
+	}
+}
+
+// SingleControlNode is a town of one hut with a configuration in force.
+func SingleControlNode(t *testing.T) (*Cluster, *ControlServer) {
+	w := New(t)
+	node := w.Run(1, true, 1)
+	w.Eventually("the first configuration is acknowledged", func() bool {
+		status, _ := w.PutConfiguration(1, "PUT", "0", ConfigurationBody(3, "s1"))
+		return status == 200
+	})
+	return w, node.Control()
+}
--- a/internal/lodge/start_test.go
+++ b/internal/lodge/start_test.go
@@ -15,22 +15,22 @@
 	"swiftswitch/internal/storage"
 )
 
-// startHut opens the hut of node 1, without its loops.
-func startHut(t *testing.T, w *town, first bool) *ControlServer {
+// openControl opens the hut of node 1, without its loops.
+func openControl(t *testing.T, w *Cluster, first bool) *ControlServer {
 	t.Helper()
-	n, err := Open(w.settings(1, first, 1, 2, 3), "", host.DefaultOptions())
+	n, err := Open(w.Settings(1, first, 1, 2, 3), "", host.DefaultOptions())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n.control
+	return n.Control()
 }
 
 // Each start counts one life more, and the count is on disk before the hut is there.
 func TestLifeRisesWithEachStart(t *testing.T) {
-	w := newTown(t)
+	w := New(t)
 	for life := int64(1); life <= 3; life++ {
-		h := startHut(t, w, life == 1)
-		if h.incarnation != life || h.acceptor.ID != consensus.GenesisID(w.ip(1)) || len(h.acceptor.State.Voters) != 3 {
+		h := openControl(t, w, life == 1)
+		if h.incarnation != life || h.acceptor.ID != consensus.GenesisID(w.IP(1)) || len(h.acceptor.State.Voters) != 3 {
 			t.Errorf("start %d: life %d as %s with %d voters", life, h.incarnation, h.acceptor.ID, len(h.acceptor.State.Voters))
 		}
 		// What it was told of versions under way stands under that life, so
@@ -45,7 +45,7 @@
 		}
 		// The files as a kill would leave them.
 		after := t.TempDir()
-		if err := os.CopyFS(after, os.DirFS(w.dirs["hut-1"])); err != nil {
+		if err := os.CopyFS(after, os.DirFS(w.DataDirs["hut-1"])); err != nil {
 			t.Fatal(err)
 		}
 		h.store.Close(time.Second)
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if raw, _ := c.Get(recordIncarnation); string(raw) != strconv.FormatInt(life, 10) {
+		if raw, _ := c.Get(RecordIncarnation); string(raw) != strconv.FormatInt(life, 10) {
 			t.Errorf("start %d: %q is on disk", life, raw)
 		}
 		c.Close(time.Second)
@@ -63,15 +63,15 @@
 // A node whose store was set aside is never again who it was, also at the
 // first start of all; one that was killed before it had an identity is.
 func TestSetAsideStoreEndsTheGenesisIdentity(t *testing.T) {
-	w := newTown(t)
-	genesis := consensus.GenesisID(w.ip(1))
-	dir := w.settings(1, true, 1, 2, 3).DataDirectory
+	w := New(t)
+	genesis := consensus.GenesisID(w.IP(1))
+	dir := w.Settings(1, true, 1, 2, 3).DataDirectory
 	c, err := storage.Open(dir, time.Second, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close(time.Second)
-	h := startHut(t, w, true)
+	h := openControl(t, w, true)
 	if h.acceptor.ID != genesis {
 		t.Errorf("with an empty store at the first start: %s", h.acceptor.ID)
 	}
@@ -90,13 +90,13 @@
 		t.Fatal(err)
 	}
 	c.Close(time.Second)
-	h = startHut(t, w, true)
+	h = openControl(t, w, true)
 	id := h.acceptor.ID
 	if !strings.HasPrefix(id, "later-") || len(h.acceptor.State.Voters) != 0 {
 		t.Errorf("after the store was set aside: %s with %d voters", id, len(h.acceptor.State.Voters))
 	}
 	h.store.Close(time.Second)
-	h = startHut(t, w, true)
+	h = openControl(t, w, true)
 	if h.acceptor.ID != id || h.incarnation != 2 {
 		t.Errorf("at the next start: %s in life %d, was %s", h.acceptor.ID, h.incarnation, id)
 	}
@@ -106,7 +106,7 @@
 // The first write is tried again while there is time, with the same records, and fails then.
 func TestFirstWriteIsTriedAgain(t *testing.T) {
 	bad := errors.New("disk is full")
-	records := map[string][]byte{recordIncarnation: []byte("1")}
+	records := map[string][]byte{RecordIncarnation: []byte("1")}
 	tries := 0
 	put := func(r map[string][]byte, then func(error)) {
 		if tries++; !maps.EqualFunc(r, records, func(a, b []byte) bool { return string(a) == string(b) }) {
--- a/internal/lodge/table.go
+++ b/internal/lodge/table.go
@@ -23,7 +23,7 @@
 	}
 	d, ok := h.tableDeltas[held]
 	if !ok {
-		d = GzipPack(Encode("delta", endpoints.Diff(from, h.table)))
+		d = Gzip(MustEncode("delta", endpoints.Diff(from, h.table)))
 		h.tableDeltas[held] = d
 	}
 	return d
@@ -65,6 +65,6 @@
 	}
 	h.table = t
 	clear(h.tableDeltas)
-	h.writeRecord(recordTable, t, nil)
+	h.writeRecord(RecordTable, t, nil)
 	h.notifyWatchers()
 }
--- a/internal/lodge/trail.go
+++ b/internal/lodge/trail.go
@@ -417,7 +417,7 @@
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(ip), "POST", PathVersion, nil, Encode("version", ask), config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(ip), "POST", PathVersion, nil, MustEncode("version", ask), config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
@@ -443,7 +443,7 @@
 
 // unpackConfiguration reads a packed configuration.
 func (t *FrontServer) unpackConfiguration(body []byte) (*config.Configuration, error) {
-	raw, err := GzipUnpack(body, t.host.MaxMessageBytes())
+	raw, err := Gunzip(body, t.host.MaxMessageBytes())
 	if err != nil {
 		return nil, err
 	}
@@ -635,3 +635,25 @@
 	})
 	return st
 }
+
+// Close ends the clients' listener at once.
+func (t *FrontServer) Close() {
+	if ln := t.listener.Load(); ln != nil {
+		_ = (*ln).Close()
+	}
+}
+
+// Snapshot is what requests are routed by now, nil while the front is not ready.
+func (t *FrontServer) Snapshot() *frontend.Snapshot { return t.frontend.Current() }
+
+// Ready tells whether the front has a configuration and a table of endpoints.
+func (t *FrontServer) Ready() bool { return t.ready.Load() }
+
+// Listening tells whether clients can connect.
+func (t *FrontServer) Listening() bool { return t.listener.Load() != nil }
+
+// Progress is the newest version and endpoint table that the front holds.
+func (t *FrontServer) Progress() (version int64, table endpoints.Stamp) {
+	held := t.progress.Load()
+	return held.version, held.stamp
+}
--- a/internal/lodge/watch.go
+++ b/internal/lodge/watch.go
@@ -240,7 +240,7 @@
 	}
 	if n != h.frontCount {
 		h.frontCount, h.persistedFrontCount = n, n
-		h.writeRecord(recordFronts, n, nil)
+		h.writeRecord(RecordFrontCount, n, nil)
 	}
 	return n
 }
@@ -298,7 +298,7 @@
 				p.response.From, p.response.Gone, raw = m.Version, d.Removed, d.Changes
 			}
 		}
-		p.body = GzipPack(raw)
+		p.body = Gzip(raw)
 		if len(h.packedVersions) < 2*maxPastBodies {
 			h.packedVersions[m.Version] = p
 		}
