--- a/internal/consensus/durable_acceptor_test.go
+++ b/internal/consensus/durable_acceptor_test.go
@@ -2,79 +2,69 @@
 
 import "testing"
 
-// Two lives of one proposer come to the same number; what they propose must
-// not be taken for one another.
-func TestBallotsOfTwoLives(t *testing.T) {
-	w := newWorld("a,b,c")
-	base := w.accs["a"].State
-	v1, v2 := &Value{Version: 1, Body: "one"}, &Value{Version: 2, Body: "two"}
-	hear := func(p *Proposer, ids ...string) {
-		st, ask := p.Stage, p.Request()
-		for _, id := range ids {
-			say, _ := w.accs[id].Handle(ask)
-			p.OnResponse(st, say)
-		}
-	}
-	first := NewProposer(base, Ballot{Round: 1, ProposerID: "a", Incarnation: 1}, v1)
-	hear(first, "b", "c")
-	hear(first, "b") // b alone accepts, a is killed
-	second := NewProposer(base, Ballot{Round: 1, ProposerID: "a", Incarnation: 2}, v2)
-	hear(second, "a", "c")
-	hear(second, "a", "c")
-	if second.Stage != StageChosen || !second.Value.Equal(*v2) {
-		t.Fatalf("the second life chose nothing: %d", second.Stage)
-	}
-	// b is told of what was chosen by its ballot.
-	if b := w.accs["b"]; b.AcceptedBallot == second.Ballot {
-		t.Fatal("what b accepted from the first life stands under the second one's ballot")
-	}
+// newDurableVoter is an acceptor of three voters on an empty disk.
+func newDurableVoter() *DurableAcceptor {
+	d := &DurableAcceptor{Acceptor: Acceptor{ID: GenesisID("1")}}
+	d.Restore(Genesis([]string{"1", "2", "3"}), BallotState{})
+	return d
 }
 
-// A reply rests on the disk: the same question asked again while the first
-// write is under way, or after it was refused, is not answered before.
-func TestNothingRestsOnAnUnsyncedPromise(t *testing.T) {
-	k := &DurableAcceptor{Acceptor: Acceptor{ID: GenesisID("1")}}
-	k.Restore(Genesis([]string{"1", "2", "3"}), BallotState{})
-	ask := Request{Slot: 1, Ballot: Ballot{Round: 3, ProposerID: "b"}}
-	say, first := k.Handle(ask)
-	if !say.OK || k.IsDurable(first) {
-		t.Fatal("a promise counts as kept before it is")
+// A repeated request, while the first write is pending or after it failed, is
+// not answered before a write that holds the promise or the value.
+func TestResponsesWaitForTheirWrite(t *testing.T) {
+	d := newDurableVoter()
+	prepare := Request{Slot: 1, Ballot: Ballot{Round: 3, ProposerID: "b"}}
+	response, first := d.Handle(prepare)
+	if !response.OK || d.IsDurable(first) {
+		t.Fatal("a promise counts as durable before it is")
 	}
-	if say, needs := k.Handle(ask); !say.OK || k.IsDurable(needs) {
-		t.Fatal("a promise asked for again is answered before it is on disk")
+	if response, restsOn := d.Handle(prepare); !response.OK || d.IsDurable(restsOn) {
+		t.Fatal("a promise asked for again is answered before it is durable")
 	}
-	if say, needs := k.Handle(Request{Slot: 1, Ballot: Ballot{Round: 1, ProposerID: "c"}}); say.OK || k.IsDurable(needs) {
-		t.Fatal("a refusal tells of a promise that is not on disk")
+	lower := Request{Slot: 1, Ballot: Ballot{Round: 1, ProposerID: "c"}}
+	if response, restsOn := d.Handle(lower); response.OK || d.IsDurable(restsOn) {
+		t.Fatal("a rejection tells of a promise that is not durable")
 	}
-	rec, mark := k.BallotState()
-	if rec.Slot != 1 || rec.Promised != ask.Ballot {
-		t.Fatalf("it is to keep %+v", rec)
+	stored, writeSeq := d.BallotState()
+	if stored.Slot != 1 || stored.Promised != prepare.Ballot {
+		t.Fatalf("to be stored is %+v", stored)
 	}
-	v := Value{Version: 1}
-	_, second := k.Handle(Request{Slot: 1, Ballot: ask.Ballot, Value: &v})
-	k.MarkDurable(mark)
-	if !k.IsDurable(first) || k.IsDurable(second) {
-		t.Fatal("the promise is on disk, the value is not")
+	accept := Request{Slot: 1, Ballot: prepare.Ballot, Value: &Value{Version: 1}}
+	_, second := d.Handle(accept)
+	d.MarkDurable(writeSeq)
+	if !d.IsDurable(first) || d.IsDurable(second) {
+		t.Fatal("the promise is durable, the value is not")
 	}
-	if _, needs := k.Handle(Request{Slot: 1, Ballot: ask.Ballot, Value: &v}); k.IsDurable(needs) {
-		t.Fatal("a value asked for again is answered before it is on disk")
+	if _, restsOn := d.Handle(accept); d.IsDurable(restsOn) {
+		t.Fatal("a value sent again is acknowledged before it is durable")
 	}
-	// Decided state is a fact; the next slot's promises rest on new writes.
-	k.Learn(k.State.Apply(v))
-	if say, needs := k.Handle(ask); say.NewerState == nil || !k.IsDurable(needs) {
-		t.Fatal("what was decided is not told")
+}
+
+// Decided state rests on no write of this disk; promises for the next slot
+// rest on new ones.
+func TestDecidedStateNeedsNoWrite(t *testing.T) {
+	d := newDurableVoter()
+	prepare := Request{Slot: 1, Ballot: Ballot{Round: 3, ProposerID: "b"}}
+	d.Handle(prepare)
+	stored, writeSeq := d.BallotState()
+	v := Value{Version: 1}
+	d.Handle(Request{Slot: 1, Ballot: prepare.Ballot, Value: &v})
+	d.MarkDurable(writeSeq)
+	d.Learn(d.State.Apply(v))
+	if response, restsOn := d.Handle(prepare); response.NewerState == nil || !d.IsDurable(restsOn) {
+		t.Fatal("a decided slot is not answered with the state")
 	}
-	if say, needs := k.Handle(Request{Slot: 2, Ballot: ask.Ballot}); !say.OK || k.IsDurable(needs) {
-		t.Fatal("a promise for the next slot counts as kept")
+	if response, restsOn := d.Handle(Request{Slot: 2, Ballot: prepare.Ballot}); !response.OK || d.IsDurable(restsOn) {
+		t.Fatal("a promise for the next slot counts as durable")
 	}
-	if k.DurableSlot() != 0 {
-		t.Fatal("the state counts as kept")
+	if d.DurableSlot() != 0 {
+		t.Fatal("the state counts as durable")
 	}
-	k.MarkStateDurable(1)
-	// A later life: what was promised for a slot that is decided says nothing.
-	again := &DurableAcceptor{Acceptor: Acceptor{ID: "a"}}
-	again.Restore(k.State, rec)
-	if again.Promised != (Ballot{}) || again.DurableSlot() != 1 {
+	d.MarkStateDurable(1)
+	// After a restart, ballots stored for a decided slot say nothing.
+	restarted := &DurableAcceptor{Acceptor: Acceptor{ID: "a"}}
+	restarted.Restore(d.State, stored)
+	if !restarted.Promised.IsZero() || restarted.DurableSlot() != 1 {
 		t.Fatal("an old promise came back")
 	}
 }
