--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -11,8 +11,8 @@
 	AcceptedValue  *Value
 }
 
-// Handle answers a request; changed tells whether the promise or the accepted
-// value did.
+// Handle answers a request. changed reports whether the promise or the accepted
+// value changed, so that it has to be written before the response is sent.
 func (a *Acceptor) Handle(request Request) (response Response, changed bool) {
 	response = Response{AcceptorID: a.ID, DecidedSlot: a.State.Slot}
 	if request.Slot <= a.State.Slot {
@@ -41,7 +41,7 @@
 	return response, changed
 }
 
-// promise rejects every lower ballot from now on; it tells whether that is new.
+// promise rejects every lower ballot from now on; it reports whether that is new.
 func (a *Acceptor) promise(b Ballot) bool {
 	if !a.Promised.Less(b) {
 		return false
@@ -55,8 +55,9 @@
 	a.Promised, a.AcceptedBallot, a.AcceptedValue = b, b, v
 }
 
-// Learn takes a decided state, unless it is no later one, and forgets what was
-// promised and accepted for the slots that it covers. It tells whether it took it.
+// Learn replaces the decided state by a later one and forgets the promise and
+// the accepted value, which were for a slot that s covers. It reports whether s
+// is later.
 func (a *Acceptor) Learn(s State) bool {
 	if s.Slot <= a.State.Slot {
 		return false
--- a/internal/consensus/ballot.go
+++ b/internal/consensus/ballot.go
@@ -15,12 +15,12 @@
 	Incarnation int64  `json:"Life,omitempty"`
 }
 
-// Less tells whether b is below o.
+// Less reports whether b is below o.
 func (b Ballot) Less(o Ballot) bool {
 	return cmp.Or(cmp.Compare(b.Round, o.Round), cmp.Compare(b.ProposerID, o.ProposerID), cmp.Compare(b.Incarnation, o.Incarnation)) < 0
 }
 
-// IsZero tells whether b is no ballot at all; that is below every other.
+// IsZero reports whether b is no ballot at all; that is below every other.
 func (b Ballot) IsZero() bool { return b == Ballot{} }
 
 // String is the form that operators see; no ballot is the empty string.
--- a/internal/consensus/change.go
+++ b/internal/consensus/change.go
@@ -53,7 +53,7 @@
 	s.AppliedChanges = all[max(0, len(all)-MaxAppliedChanges):]
 }
 
-// HasApplied tells whether the change by the request with that fingerprint
+// HasApplied reports whether the change by the request with that fingerprint
 // took effect, as far as is remembered.
 func (s State) HasApplied(version, base int64, fingerprint string) bool {
 	for _, c := range slices.Backward(s.AppliedChanges) {
--- a/internal/consensus/delta.go
+++ b/internal/consensus/delta.go
@@ -35,7 +35,7 @@
 func (p Purge) decidedIn() int64         { return p.Slot }
 func (o PastOrder) decidedIn() int64     { return o.Slot }
 
-// itemsAfter gives the items that were decided after a slot.
+// itemsAfter returns the items that were decided after a slot.
 func itemsAfter[T decidedItem](items []T, slot int64) []T {
 	first := len(items)
 	for first > 0 && items[first-1].decidedIn() > slot {
@@ -44,7 +44,7 @@
 	return items[first:]
 }
 
-// DeltaSince gives what a node at slot from lacks.
+// DeltaSince returns what a node at slot from lacks.
 func (s State) DeltaSince(from int64) StateDelta {
 	d := StateDelta{
 		FromSlot:       from,
@@ -66,7 +66,7 @@
 	return d
 }
 
-// ApplyDelta gives the later state. ok is false, and the state is s, where the
+// ApplyDelta returns the later state. ok is false, and the state is s, where the
 // delta is of no later slot, or from a later slot than that of s.
 func (s State) ApplyDelta(d StateDelta) (later State, ok bool) {
 	if d.FromSlot == NoSlot {
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -34,8 +34,8 @@
 // that tells of it is sent. That holds for a response which changed nothing,
 // too, and for a rejection, since either may rest on a write that is still
 // pending or failed: DurableAcceptor.Handle names the write that each response
-// rests on. A NewerState needs no write, because a majority's disks
-// decided it. The decided state must reach the disk before ballots of
+// rests on. A NewerState needs no write, because a majority of the voters has
+// made its slot durable. A node writes a decided state before the ballots of
 // the slot after it.
 //
 // # Duplicates and restarts
--- a/internal/consensus/durable_acceptor.go
+++ b/internal/consensus/durable_acceptor.go
@@ -42,8 +42,8 @@
 		d.writeSeq++
 	}
 	if !response.OK && response.Promised.IsZero() {
-		// It tells of no promise. A NewerState was decided by other disks and
-		// stays so whatever becomes of this one.
+		// It rests on no promise. A NewerState was decided by other disks and
+		// stays decided whatever becomes of this one.
 		return response, 0
 	}
 	return response, d.writeSeq
@@ -54,7 +54,7 @@
 	return BallotState{d.State.Slot + 1, d.Promised, d.AcceptedBallot, d.AcceptedValue}, d.writeSeq
 }
 
-// IsDurable tells whether the write of that number, or a later one, is on disk.
+// IsDurable reports whether the write of that number, or a later one, is on disk.
 func (d *DurableAcceptor) IsDurable(writeSeq int64) bool { return d.durableSeq >= writeSeq }
 
 // MarkDurable notes that the write of that number is on disk.
--- a/internal/consensus/model_apply_test.go
+++ b/internal/consensus/model_apply_test.go
@@ -1,6 +1,6 @@
 package consensus
 
-// apply takes a step and tells whether it was possible; one that was not
+// apply takes a step and reports whether it was possible; one that was not
 // changes nothing but the clock.
 func (m *model) apply(s step) bool {
 	m.clock++
@@ -92,7 +92,7 @@
 	return true
 }
 
-// mayAskForSeat tells whether s.node may ask s.peer for the seat of the voter
+// mayAskForSeat reports whether s.node may ask s.peer for the seat of the voter
 // at node s.n: it caught up, has no vote, and where a voter is left at its own
 // address it asks for that one's seat.
 func (m *model) mayAskForSeat(s step) bool {
@@ -185,7 +185,7 @@
 	return true
 }
 
-// connected tells whether s.node may take state from s.peer.
+// connected reports whether s.node may take state from s.peer.
 func (m *model) connected(s step) bool {
 	return m.nodes[s.node].up && m.nodes[s.peer].up && s.node != s.peer && m.nodes[s.peer].hasState()
 }
--- a/internal/consensus/model_bounds_test.go
+++ b/internal/consensus/model_bounds_test.go
@@ -22,7 +22,7 @@
 	partialWrites bool
 }
 
-// initial gives the model after the prefix, and its steps.
+// initial returns the model after the prefix, and its steps.
 func (b bounds) initial(f fault, reliable bool) (*model, []step) {
 	m := newModel(b.nodes, f, reliable)
 	var steps []step
@@ -162,7 +162,7 @@
 	}
 }
 
-// mayRollBack tells whether the node has an older form of the same disk.
+// mayRollBack reports whether the node has an older form of the same disk.
 func (n *modelNode) mayRollBack() bool {
 	old := n.staleDisk
 	return old != nil && old.id == n.disk.id &&
--- a/internal/consensus/model_call_test.go
+++ b/internal/consensus/model_call_test.go
@@ -61,7 +61,7 @@
 	acceptedSeen, laterSlotSeen bool
 }
 
-// open tells whether the call may still act.
+// open reports whether the call may still act.
 func (c *modelCall) open() bool { return !c.returned && !c.abandoned }
 
 // clone copies a call with its attempts.
@@ -112,7 +112,7 @@
 	m.startAttempt(call, s, &Value{Voters: voters})
 }
 
-// replaceable tells whether a voter may be replaced: by its own node's new
+// replaceable reports whether a voter may be replaced: by its own node's new
 // identity, or where it is held for unreachable, rightly or not.
 func (m *model) replaceable(c *modelCall, v Voter) bool {
 	n := &m.nodes[c.replaced]
--- a/internal/consensus/model_disk_loss_test.go
+++ b/internal/consensus/model_disk_loss_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// mayLoseDisk tells whether a node may lose its disk, which is allowed once
+// mayLoseDisk reports whether a node may lose its disk, which is allowed once
 // the repair after the loss before is finished. That is so once a majority of
 // the newest voters holds, on disk, the state that made them voters, and each
 // of them its own disk: with fewer, the next loss can take the only record of
@@ -28,7 +28,7 @@
 	return repaired > len(newest.Voters)/2 && (m.fault == faultRepairPending || !m.proposesLostDisk())
 }
 
-// holdsMembership tells whether a node holds the state that made it a voter,
+// holdsMembership reports whether a node holds the state that made it a voter,
 // on disk unless a fault counts less than that.
 func (m *model) holdsMembership(n *modelNode, votersSlot int64) bool {
 	switch m.fault {
@@ -42,7 +42,7 @@
 	return len(n.disk.state.Voters) > 0 && n.disk.state.Slot >= votersSlot
 }
 
-// proposesLostDisk tells whether a proposal for the open slot, or a call that
+// proposesLostDisk reports whether a proposal for the open slot, or a call that
 // may lead to one, names a lost disk as a voter.
 func (m *model) proposesLostDisk() bool {
 	newest := m.newest()
@@ -68,5 +68,5 @@
 		a.requests[phaseAccept] != nil && names(a.requests[phaseAccept].Value)
 }
 
-// isLost tells whether the disk of that voter is gone.
+// isLost reports whether the disk of that voter is gone.
 func (m *model) isLost(v Voter) bool { return m.nodes[nodeOf(v)].disk.id != v.ID }
--- a/internal/consensus/model_explore_test.go
+++ b/internal/consensus/model_explore_test.go
@@ -84,7 +84,7 @@
 	e.result.exhausted = true
 }
 
-// take applies a step to a copy of a state and tells whether the result is new.
+// take applies a step to a copy of a state and reports whether the result is new.
 // Where something was decided, acknowledged or lost the result must heal.
 func (e *explorer) take(o openState, s step) (reached openState, isNew bool) {
 	m := o.model.clone()
--- a/internal/consensus/model_invariants_test.go
+++ b/internal/consensus/model_invariants_test.go
@@ -56,7 +56,7 @@
 	return string(v.invariant) + ": " + v.detail
 }
 
-// of tells whether v violates that invariant.
+// of reports whether v violates that invariant.
 func (v *violation) of(broken invariant) bool {
 	return v != nil && (broken == anyInvariant || v.invariant == broken)
 }
--- a/internal/consensus/model_linearizability_test.go
+++ b/internal/consensus/model_linearizability_test.go
@@ -43,7 +43,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// step tells whether the register may answer so, and its state after it.
+// step reports whether the register may answer so, and its state after it.
 func (r register) step(c registerCall, answer registerResponse) (bool, register) {
 	if c.isRead {
 		return answer.version == r.version, r
@@ -58,7 +58,7 @@
 	return answer.code != http.StatusOK, r
 }
 
-// linearizable tells whether some order of the calls explains their answers. A
+// linearizable reports whether some order of the calls explains their answers. A
 // call without an answer may take effect at any later time.
 func (m *model) linearizable() bool {
 	var history []porcupine.Operation
--- a/internal/consensus/model_node_test.go
+++ b/internal/consensus/model_node_test.go
@@ -53,7 +53,7 @@
 	caughtUpTo int64
 }
 
-// hasState tells whether the node knows any decided state.
+// hasState reports whether the node knows any decided state.
 func (n *modelNode) hasState() bool { return len(n.acceptor.State.Voters) > 0 }
 
 // durableSlot is the slot up to which the node has the decided state on disk.
@@ -117,7 +117,7 @@
 	n.pendingWrites = append(n.pendingWrites, w)
 }
 
-// transfer gives a node what it lacks of another's state from a slot on.
+// transfer returns a node what it lacks of another's state from a slot on.
 func (m *model) transfer(from, to int, slot int64) {
 	s := m.nodes[from].acceptor.State
 	m.receiveDelta(to, s.DeltaSince(min(slot, s.Slot)))
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -76,7 +76,7 @@
 // nodeOf is the node at a voter's address.
 func nodeOf(v Voter) int { return int(v.IP[0] - 'a') }
 
-// hasVoterOn tells whether a voter of s is at that node's address.
+// hasVoterOn reports whether a voter of s is at that node's address.
 func hasVoterOn(s State, node int) bool {
 	return slices.ContainsFunc(s.Voters, func(v Voter) bool { return nodeOf(v) == node })
 }
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -26,7 +26,7 @@
 	Stage  Stage
 	// Value is what is proposed, from StageAccepting on.
 	Value Value
-	// ValueIsOwn tells whether Value is the proposer's own rather than one
+	// ValueIsOwn reports whether Value is the proposer's own rather than one
 	// that was adopted from an earlier ballot.
 	ValueIsOwn bool
 	NewerState *State
@@ -61,7 +61,7 @@
 	return request
 }
 
-// Done tells whether the ballot ended.
+// Done reports whether the ballot ended.
 func (p *Proposer) Done() bool { return p.Stage > StageAccepting }
 
 // Abort ends the ballot if it still runs. Its value may be chosen all the same.
@@ -80,7 +80,7 @@
 	}
 }
 
-// OnResponse takes a response to the request of a stage and tells whether the
+// OnResponse takes a response to the request of a stage and reports whether the
 // proposer's stage changed. Responses to an earlier stage, of nodes without a
 // vote, and repeated ones do not count.
 func (p *Proposer) OnResponse(stage Stage, response Response) bool {
--- a/internal/consensus/purge.go
+++ b/internal/consensus/purge.go
@@ -41,7 +41,7 @@
 	return s.Purges[min(max(0, seq-s.CompactedPurgeSeq()), int64(len(s.Purges))):]
 }
 
-// HasPurge tells whether the purge with that ID is among those remembered.
+// HasPurge reports whether the purge with that ID is among those remembered.
 func (s State) HasPurge(id string) bool {
 	return slices.ContainsFunc(s.Purges, func(p Purge) bool { return p.ID == id })
 }
--- a/internal/consensus/random_schedule_test.go
+++ b/internal/consensus/random_schedule_test.go
@@ -39,7 +39,8 @@
 }
 
 // deliver takes one message: it may stay and arrive again, and it or its
-// response may be lost. It tells which proposer chose a value by it, if any.
+// response may be lost. It returns the proposer that thereby knows its value as
+// chosen, if any.
 func (n *randomNetwork) deliver() *Proposer {
 	i := n.rand.IntN(len(n.messages))
 	m := n.messages[i]
--- a/internal/consensus/rollout.go
+++ b/internal/consensus/rollout.go
@@ -55,7 +55,7 @@
 	Reason string `json:"Why,omitempty"`
 }
 
-// Running tells whether the rollout is not finished.
+// Running reports whether the rollout is not finished.
 func (r Rollout) Running() bool { return phaseOrder[r.Phase] < phaseOrder[PhaseCompleted] }
 
 // Status is the phase in the operator's form.
@@ -66,7 +66,7 @@
 	return string(r.Phase)
 }
 
-// SameOrder tells whether r and o may be the same order, sent twice: orders
+// SameOrder reports whether r and o may be the same order, sent twice: orders
 // bear no name of their own.
 func (r Rollout) SameOrder(o Rollout) bool {
 	return r.Service == o.Service && r.TargetVersion == o.TargetVersion && r.DurationMs == o.DurationMs
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -49,12 +49,12 @@
 // Quorum is the least number of voters that is a majority.
 func (s State) Quorum() int { return len(s.Voters)/2 + 1 }
 
-// IsVoter tells whether id is among the voters.
+// IsVoter reports whether id is among the voters.
 func (s State) IsVoter(id string) bool {
 	return slices.ContainsFunc(s.Voters, func(v Voter) bool { return v.ID == id })
 }
 
-// Apply gives the state after the next slot decided v.
+// Apply returns the state after the next slot decided v.
 func (s State) Apply(v Value) State {
 	s.Slot++
 	switch {
--- a/internal/consensus/value.go
+++ b/internal/consensus/value.go
@@ -36,5 +36,5 @@
 	Rollout *Rollout `json:"Rollout,omitempty"`
 }
 
-// Equal tells whether two values are the same in every field.
+// Equal reports whether two values are the same in every field.
 func (v Value) Equal(o Value) bool { return reflect.DeepEqual(v, o) }
