--- a/internal/lodge/lodge_test.go
+++ b/internal/lodge/lodge_test.go
@@ -301,9 +301,7 @@
 		state := "draining"
 		if i%2 == 1 {
 			state = "ready"
-			w.mu.Lock()
-			delete(w.Searchers, "plain-a")
-			w.mu.Unlock()
+			w.RemoveSearcher("plain-a")
 		}
 		w.SetSearcherState("plain-a", state)
 		w.Run(holder, false, 1, 2, 3)
--- a/internal/lodge/standin_test.go
+++ b/internal/lodge/standin_test.go
@@ -191,6 +191,14 @@
 	return s
 }
 
+// RemoveSearcher takes a searcher off the discovery list; it goes on answering.
+func (w *Cluster) RemoveSearcher(id string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.Searchers, id)
+}
+
+// SetSearcherState changes how the discovery list describes a searcher.
 func (w *Cluster) SetSearcherState(id, state string) { w.mu.Lock(); w.state[id] = state; w.mu.Unlock() }
 
 func (w *Cluster) IP(n int) string { return fmt.Sprintf("%s%d", w.subnet, n) }
