--- a/cmd/swiftswitch/main.go
+++ b/cmd/swiftswitch/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"swiftswitch/internal/node"
 	"bytes"
 	"encoding/json"
 	"fmt"
@@ -16,7 +17,6 @@
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/events"
 	"swiftswitch/internal/host"
-	"swiftswitch/internal/lodge"
 	"swiftswitch/internal/transport"
 
 	"github.com/spf13/cobra"
@@ -80,7 +80,7 @@
 				}
 				defer pprof.StopCPUProfile()
 			}
-			if code := lodge.Run(settings, dir, opt); code != 0 {
+			if code := node.Run(settings, dir, opt); code != 0 {
 				os.Exit(code)
 			}
 			return nil
@@ -305,7 +305,7 @@
 func statusCmd() *cobra.Command {
 	var within time.Duration
 	c := &cobra.Command{Use: "status ADDRESS", Short: "Show a node's state (address: host:port between nodes)", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, a []string) error {
-		b, err := lodge.FetchStatus(a[0], within)
+		b, err := node.FetchStatus(a[0], within)
 		if err != nil {
 			return exit{exitRemote, fmt.Errorf("%s can't be reached: %w", a[0], err)}
 		}
--- a/internal/lodge/larder.go
+++ b/internal/cachenode/fetcher.go
@@ -1,7 +1,9 @@
-package lodge
+package cachenode
 
 import (
 	"fmt"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
 	"sync"
 	"time"
 
@@ -281,7 +283,7 @@
 
 // Get gives a copy that may be served, fetching it if need be; it waits at
 // most for wait, and then tells that it is under way.
-func (k *Fetcher) Get(a CacheFetchRequest, lifetime time.Duration, sends func(string) bool) (CacheFetchResponse, []byte) {
+func (k *Fetcher) Get(a nodeapi.CacheFetchRequest, lifetime time.Duration, sends func(string) bool) (nodeapi.CacheFetchResponse, []byte) {
 	until := time.Now().Add(time.Duration(min(a.WaitMs, a.LeftMs)) * time.Millisecond)
 	for k.purges.Known() < a.Purge && time.Now().Before(until) {
 		// The asker has heard of a purge that this node has not: it is on its way.
@@ -299,7 +301,7 @@
 		}
 		if k.quota(a.Service) == 0 {
 			k.mu.Unlock()
-			return CacheFetchResponse{Status: StatusNoQuota}, nil
+			return nodeapi.CacheFetchResponse{Status: nodeapi.StatusNoQuota}, nil
 		}
 		left, aim := time.Duration(a.LeftMs)*time.Millisecond, time.Duration(a.AimMs)*time.Millisecond
 		f := k.queue.Want(a.Host, a.Target, a.Service, a.Weight, now, now+left, aim/3)
@@ -308,14 +310,14 @@
 		k.wake()
 		if !a.Again && back > aim || back > time.Duration(float64(left)*rejectAboveWait) {
 			// Told now when it will be there, the client loses less than by waiting.
-			return CacheFetchResponse{Status: 503, BackMs: min(back, left/4).Milliseconds()}, nil
+			return nodeapi.CacheFetchResponse{Status: 503, BackMs: min(back, left/4).Milliseconds()}, nil
 		}
 		t := time.NewTimer(time.Until(until))
 		select {
 		case <-f.Done:
 			t.Stop()
 		case <-t.C:
-			return CacheFetchResponse{Status: 202}, nil
+			return nodeapi.CacheFetchResponse{Status: 202}, nil
 		}
 		switch {
 		case f.Copy != nil:
@@ -326,9 +328,9 @@
 			}
 			continue
 		case f.Passed != nil:
-			return CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, Passed: true}, f.Passed.Body
+			return nodeapi.CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, Passed: true}, f.Passed.Body
 		}
-		return CacheFetchResponse{Status: f.Status, BackMs: int64(k.host.Heartbeats(0.1) / time.Millisecond)}, nil
+		return nodeapi.CacheFetchResponse{Status: f.Status, BackMs: int64(k.host.Heartbeats(0.1) / time.Millisecond)}, nil
 	}
 }
 
@@ -357,23 +359,23 @@
 	}
 }
 
-func objectResponse(c *cache.Copy, known int64, now time.Duration) (CacheFetchResponse, []byte) {
-	return CacheFetchResponse{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, Known: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
+func objectResponse(c *cache.Copy, known int64, now time.Duration) (nodeapi.CacheFetchResponse, []byte) {
+	return nodeapi.CacheFetchResponse{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, Known: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
 }
 
 // HandleFetch takes a front's ask.
 func (k *Fetcher) HandleFetch(c *app.RequestContext) {
-	var a CacheFetchRequest
+	var a nodeapi.CacheFetchRequest
 	if !transport.ReadJSON(c, &a) {
 		return
 	}
-	s := CacheFetchResponse{Status: 503}
+	s := nodeapi.CacheFetchResponse{Status: 503}
 	var body []byte
 	if r := k.front.Route(a.Host, a.Target); r != nil && a.LeftMs > 0 && r.Cached && r.Sends(a.Service) {
 		s, body = k.Get(a, r.Lifetime, r.Sends)
 	}
 	c.SetStatusCode(200)
-	c.Response.Header.Set(HeaderCacheFetch, string(MustEncode("larder", s)))
+	c.Response.Header.Set(nodeapi.HeaderCacheFetch, string(codec.MustEncode("larder", s)))
 	c.Response.Header.SetContentType("application/octet-stream")
 	c.Response.SetBodyRaw(body)
 }
@@ -391,7 +393,7 @@
 		}
 		self := consensus.CacheNode{Name: k.host.Settings().NodeName, IP: k.host.Settings().IpAddress, Zone: k.host.Settings().Zone}
 		for _, ip := range k.front.ControlIPs() {
-			if k.host.Client.CallJSON(k.host.Settings().InternalAddress(ip), PathCacheJoin, self, nil, config.Milliseconds(k.host.Settings().Bounds.AcknowledgeMs, 0.4)) == nil {
+			if k.host.Client.CallJSON(k.host.Settings().InternalAddress(ip), nodeapi.PathCacheJoin, self, nil, config.Milliseconds(k.host.Settings().Bounds.AcknowledgeMs, 0.4)) == nil {
 				events.Log(events.CacheNodeRegistered, "by", ip)
 				break
 			}
--- a/internal/lodge/pack.go
+++ b/internal/codec/compress.go
@@ -1,4 +1,4 @@
-package lodge
+package codec
 
 import (
 	"bytes"
--- a/internal/lodge/orders.go
+++ b/internal/control/configuration.go
@@ -1,8 +1,9 @@
-package lodge
+package control
 
 import (
 	"strconv"
 	"strings"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -21,7 +22,7 @@
 // answerRead reads the newest state within the caller's patience and gives it to
 // answer, which only prepares the answer; should the node have stood still
 // meanwhile, it reads anew.
-func (h *ControlServer) answerRead(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
+func (h *Server) answerRead(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
 	ack := h.host.Settings().Bounds.AcknowledgeMs
 	for time.Now().Before(until) {
 		s, ok := h.readQuorum(min(config.Milliseconds(ack, 0.6), time.Until(until)))
@@ -39,7 +40,7 @@
 }
 
 // HandleConfiguration takes the operator's calls.
-func (h *ControlServer) HandleConfiguration(c *app.RequestContext, until time.Time) {
+func (h *Server) HandleConfiguration(c *app.RequestContext, until time.Time) {
 	if string(c.Request.Header.Method()) == "GET" {
 		h.answerRead(c, until, func(s consensus.State) {
 			if s.Version == 0 {
@@ -57,7 +58,7 @@
 	// A change is known as late by its base: one that came directly may be tried
 	// for longer than its caller waits, and is found settled when it is sent again.
 	settleBy := until
-	if len(c.Request.Header.Peek(HeaderForwardedBy)) == 0 {
+	if len(c.Request.Header.Peek(nodeapi.HeaderForwardedBy)) == 0 {
 		settleBy = time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.8))
 	}
 	status, text := h.changeConfiguration(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
@@ -90,7 +91,7 @@
 
 // changeConfiguration settles a PUT, or a PATCH: that is merged here into a whole version,
 // on top of the one it builds on.
-func (h *ControlServer) changeConfiguration(isPatch bool, body, match string, until time.Time) (int, changeResult) {
+func (h *Server) changeConfiguration(isPatch bool, body, match string, until time.Time) (int, changeResult) {
 	var version int64
 	var patch *config.Patch
 	sum := consensus.Fingerprint(body)
@@ -126,7 +127,7 @@
 }
 
 // decideConfiguration has a configuration decided, merged from a patch where there is one.
-func (h *ControlServer) decideConfiguration(own *consensus.Value, patch *config.Patch, until time.Time) (int, changeResult) {
+func (h *Server) decideConfiguration(own *consensus.Value, patch *config.Patch, until time.Time) (int, changeResult) {
 	h.proposalLock.Lock()
 	defer h.proposalLock.Unlock()
 	merged := patch == nil
@@ -171,6 +172,6 @@
 }
 
 // readDuringProposal is a read in the middle of settling an order, no longer than that may take.
-func (h *ControlServer) readDuringProposal(until time.Time) (consensus.State, bool) {
+func (h *Server) readDuringProposal(until time.Time) (consensus.State, bool) {
 	return h.readQuorum(min(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
 }
--- a/internal/lodge/ballots.go
+++ b/internal/control/consensus.go
@@ -1,8 +1,11 @@
-package lodge
+package control
 
 import (
 	"errors"
 	"slices"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -19,12 +22,12 @@
 
 // handleConsensus lets the acceptor answer. What the answer rests on is on disk before
 // it leaves, whoever wrote it and however often that was refused.
-func (h *ControlServer) handleConsensus(m ConsensusRequest) (say ConsensusResponse, err error) {
+func (h *Server) handleConsensus(m nodeapi.ConsensusRequest) (say nodeapi.ConsensusResponse, err error) {
 	done := make(chan error, 1)
 	h.loop.Call(func() {
 		if v := m.Value; v != nil && v.Body == "" && m.Packed != nil && m.Slot == h.acceptor.State.Slot+1 {
 			whole := *v
-			if whole.Body, err = DecompressDelta(h.acceptor.State.Body, m.Packed, h.host.MaxMessageBytes()); err != nil {
+			if whole.Body, err = codec.DecompressDelta(h.acceptor.State.Body, m.Packed, h.host.MaxMessageBytes()); err != nil {
 				done <- err
 				return
 			}
@@ -38,7 +41,7 @@
 			h.packedValue = m.Packed
 		}
 		if say.AcceptedValue != nil {
-			say.AcceptedValue, say.Packed = WithoutBody(say.AcceptedValue, h.packedValue), h.packedValue
+			say.AcceptedValue, say.Packed = nodeapi.WithoutBody(say.AcceptedValue, h.packedValue), h.packedValue
 		}
 		if say.NewerState != nil {
 			say.NewerState, say.News = nil, h.stateDelta(m.Slot-1)
@@ -48,8 +51,8 @@
 			return
 		}
 		b, mark := h.acceptor.BallotState()
-		b.AcceptedValue = WithoutBody(b.AcceptedValue, h.packedValue)
-		h.writeRecord(RecordBallot, BallotRecord{b, h.packedValue}, func(e error) {
+		b.AcceptedValue = nodeapi.WithoutBody(b.AcceptedValue, h.packedValue)
+		h.writeRecord(records.KeyBallot, records.Ballot{BallotState: b, Packed: h.packedValue}, func(e error) {
 			if e == nil {
 				h.loop.Submit(func() { h.acceptor.MarkDurable(mark) })
 			}
@@ -66,9 +69,9 @@
 
 // unpackResponse opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
-func (h *ControlServer) unpackResponse(base consensus.State, say ConsensusResponse) (consensus.Response, error) {
+func (h *Server) unpackResponse(base consensus.State, say nodeapi.ConsensusResponse) (consensus.Response, error) {
 	if say.AcceptedValue != nil && say.Packed != nil {
-		body, err := DecompressDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
+		body, err := codec.DecompressDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Response, err
 		}
@@ -90,12 +93,12 @@
 
 // stateDelta gives what a node at slot from lacks, packed once for all who are
 // there; it runs on the desk.
-func (h *ControlServer) stateDelta(from int64) *StateDelta {
+func (h *Server) stateDelta(from int64) *nodeapi.StateDelta {
 	if n, ok := h.stateDeltas[from]; ok {
 		return n
 	}
 	s := h.acceptor.State
-	n := &StateDelta{StateDelta: s.DeltaSince(from)}
+	n := &nodeapi.StateDelta{StateDelta: s.DeltaSince(from)}
 	if n.Body != "" {
 		base := ""
 		if v := s.VersionAt(from); v > 0 {
@@ -105,7 +108,7 @@
 				}
 			}
 		}
-		packed, err := CompressDelta(base, n.Body)
+		packed, err := codec.CompressDelta(base, n.Body)
 		if err != nil {
 			events.Log(events.InvariantViolated, "pack", err)
 			panic(err)
@@ -123,7 +126,7 @@
 const maxStateDeltas = 16
 
 // applyStateDelta learns from another hut and tells whether the news fitted; it runs on the desk.
-func (h *ControlServer) applyStateDelta(n *StateDelta, how string) bool {
+func (h *Server) applyStateDelta(n *nodeapi.StateDelta, how string) bool {
 	if n.Slot <= h.acceptor.State.Slot && len(h.acceptor.State.Voters) > 0 {
 		return true
 	}
@@ -131,7 +134,7 @@
 		if v == h.acceptor.State.Version {
 			return h.acceptor.State.Body, true
 		}
-		at := slices.IndexFunc(h.pastBodies, func(b BodyRecord) bool { return b.Version == v })
+		at := slices.IndexFunc(h.pastBodies, func(b records.Body) bool { return b.Version == v })
 		if at < 0 {
 			return "", false
 		}
@@ -158,7 +161,7 @@
 
 // handleLearn takes word of a decided slot. The answer names the slot up to
 // which this node has it all on disk.
-func (h *ControlServer) handleLearn(c *app.RequestContext, m LearnRequest) {
+func (h *Server) handleLearn(c *app.RequestContext, m nodeapi.LearnRequest) {
 	h.loop.Call(func() {
 		if m.News != nil {
 			h.applyStateDelta(m.News, "told")
@@ -166,25 +169,25 @@
 			h.learn(h.acceptor.State.Apply(*h.acceptor.AcceptedValue), "accepted")
 		}
 	})
-	transport.WriteJSON(c, 200, LearnResponse{h.waitDurable()})
+	transport.WriteJSON(c, 200, nodeapi.LearnResponse{Slot: h.waitDurable()})
 }
 
 // sendState brings another hut up to what this one knows, and gives the slot up
 // to which the other has it on disk then, below 0 where it did not answer.
 // held is the slot that the other is known to hold.
-func (h *ControlServer) sendState(ip string, held int64, within time.Duration) int64 {
+func (h *Server) sendState(ip string, held int64, within time.Duration) int64 {
 	until := time.Now().Add(within)
 	for _, from := range []int64{held, consensus.NoSlot} {
-		var m LearnRequest
+		var m nodeapi.LearnRequest
 		h.loop.Call(func() {
-			m = LearnRequest{Slot: h.acceptor.State.Slot}
+			m = nodeapi.LearnRequest{Slot: h.acceptor.State.Slot}
 			if from > m.Slot {
 				from = m.Slot
 			}
 			m.News = h.stateDelta(from)
 		})
-		var say LearnResponse
-		if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathLearn, m, &say, time.Until(until)) != nil {
+		var say nodeapi.LearnResponse
+		if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
 		if say.Slot >= m.Slot || from == consensus.NoSlot || time.Now().After(until) {
--- a/internal/lodge/beats.go
+++ b/internal/control/heartbeat.go
@@ -1,7 +1,8 @@
-package lodge
+package control
 
 import (
 	"slices"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -20,8 +21,8 @@
 }
 
 // heartbeat is this node's sign of life; it runs on the desk.
-func (h *ControlServer) heartbeat() Heartbeat {
-	b := Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Leaving: h.host.Draining.Load()}
+func (h *Server) heartbeat() nodeapi.Heartbeat {
+	b := nodeapi.Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Leaving: h.host.Draining.Load()}
 	b.Unfit = !h.pollLease.Eligible(h.host.Now())
 	b.Fronts = h.frontCount
 	b.Roll = h.frontRoster().Roll
@@ -33,7 +34,7 @@
 }
 
 // onHeartbeat takes another hut's sign of life; it runs on the desk.
-func (h *ControlServer) onHeartbeat(b Heartbeat) {
+func (h *Server) onHeartbeat(b nodeapi.Heartbeat) {
 	now := h.host.Now()
 	h.peers[b.IP] = peerState{b.ID, now, b.Leaving, b.Zone, b.Slot}
 	h.detector.OnHeartbeat(b.ID, now)
@@ -61,13 +62,13 @@
 }
 
 // handOff gives a node what it missed.
-func (h *ControlServer) handOff(ip string, slot int64) {
+func (h *Server) handOff(ip string, slot int64) {
 	held := h.sendState(ip, slot, h.host.Heartbeats(1))
 	h.loop.Submit(func() { h.handoff.Finish(ip, held) })
 }
 
 // peerIPs lists the other huts to beat to; it runs on the desk.
-func (h *ControlServer) peerIPs() []string {
+func (h *Server) peerIPs() []string {
 	self := h.host.Settings().IpAddress
 	var out []string
 	add := func(ip string) {
@@ -91,7 +92,7 @@
 	return out
 }
 
-func (h *ControlServer) heartbeatLoop() {
+func (h *Server) heartbeatLoop() {
 	for {
 		h.loop.Call(h.detectorTick)
 		h.sendHeartbeats()
@@ -103,9 +104,9 @@
 	}
 }
 
-func (h *ControlServer) sendHeartbeats() {
+func (h *Server) sendHeartbeats() {
 	var out []string
-	var b Heartbeat
+	var b nodeapi.Heartbeat
 	var bid lease.Request
 	var sent time.Duration
 	known := 0
@@ -129,8 +130,8 @@
 	}
 	for _, ip := range out {
 		go func() {
-			var say Heartbeat
-			if err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathHeartbeat, b, &say, h.host.Heartbeats(0.8)); err == nil {
+			var say nodeapi.Heartbeat
+			if err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathHeartbeat, b, &say, h.host.Heartbeats(0.8)); err == nil {
 				h.loop.Submit(func() {
 					h.onHeartbeat(say)
 					h.onRenewals(bid, say, sent)
@@ -143,7 +144,7 @@
 
 // initiatesHeartbeat tells whether of this node and another that hear each other this one
 // sends the beats; it runs on the desk.
-func (h *ControlServer) initiatesHeartbeat(b Heartbeat, ip string, o peerState) bool {
+func (h *Server) initiatesHeartbeat(b nodeapi.Heartbeat, ip string, o peerState) bool {
 	switch {
 	case b.Renews != nil && h.acceptor.State.IsVoter(o.id):
 		return true
@@ -155,7 +156,7 @@
 
 // lacksMajority tells whether this hut has not heard a majority of the voters lately;
 // it runs on the desk.
-func (h *ControlServer) lacksMajority(now time.Duration) bool {
+func (h *Server) lacksMajority(now time.Duration) bool {
 	heard := 0
 	for _, v := range h.acceptor.State.Voters {
 		if v.ID == h.acceptor.ID || h.pollLease.SilentFor(v.ID, now) < h.host.Heartbeats(2) {
@@ -167,7 +168,7 @@
 
 // isolated is lone for whoever is not on the desk. Such a hut says so at once,
 // and its callers go on to another.
-func (h *ControlServer) isolated() (yes bool) {
+func (h *Server) isolated() (yes bool) {
 	h.loop.Call(func() { yes = h.lacksMajority(h.host.Now()) })
 	return yes
 }
--- a/internal/lodge/lease.go
+++ b/internal/control/lease.go
@@ -1,8 +1,10 @@
-package lodge
+package control
 
 import (
 	"errors"
 	"slices"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 	"time"
 
 	"swiftswitch/internal/endpoints"
@@ -22,7 +24,7 @@
 
 // leaseLoop asks for the duty's lease where this node is the one to have it,
 // and gives it back where it is not. Renewals go with the beats.
-func (h *ControlServer) leaseLoop() {
+func (h *Server) leaseLoop() {
 	for {
 		var release, bid lease.Request
 		var yields, asks, holds bool
@@ -60,7 +62,7 @@
 
 // votersToAsk lists the voters to be asked by a call of their own: those that the
 // beats renew nothing with. It runs on the desk.
-func (h *ControlServer) votersToAsk(now time.Duration) map[string]string {
+func (h *Server) votersToAsk(now time.Duration) map[string]string {
 	to := map[string]string{}
 	for _, v := range h.acceptor.State.Voters {
 		// A holder can do without those that are silent.
@@ -74,14 +76,14 @@
 }
 
 // requestLease asks one voter for the lease.
-func (h *ControlServer) requestLease(b lease.Request, id, ip string) {
-	var say LeaseResponse
+func (h *Server) requestLease(b lease.Request, id, ip string) {
+	var say nodeapi.LeaseResponse
 	var err error
 	sent := h.host.Now()
 	if ip == h.host.Settings().IpAddress {
-		say, err = h.handleLeaseRequest(LeaseRequest{Bid: b})
+		say, err = h.handleLeaseRequest(nodeapi.LeaseRequest{Bid: b})
 	} else {
-		err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathLease, LeaseRequest{Bid: b}, &say, h.host.Heartbeats(0.8))
+		err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathLease, nodeapi.LeaseRequest{Bid: b}, &say, h.host.Heartbeats(0.8))
 	}
 	h.loop.Submit(func() {
 		delete(h.leaseRequests, id)
@@ -97,7 +99,7 @@
 
 // noteLease notes where this node came to have the duty, or has it no more; it
 // runs on the desk.
-func (h *ControlServer) noteLease(now time.Duration) {
+func (h *Server) noteLease(now time.Duration) {
 	epoch, holds := h.pollLease.FencingToken(now)
 	switch {
 	case holds && epoch != h.actingEpoch:
@@ -119,21 +121,21 @@
 }
 
 // releaseLease gives a lease back before its time.
-func (h *ControlServer) releaseLease(b lease.Request) {
+func (h *Server) releaseLease(b lease.Request) {
 	for _, v := range h.State().Voters {
 		if v.IP == h.host.Settings().IpAddress {
-			_, _ = h.handleLeaseRequest(LeaseRequest{Bid: b, Release: true})
+			_, _ = h.handleLeaseRequest(nodeapi.LeaseRequest{Bid: b, Release: true})
 			continue
 		}
 		go func() {
-			var say LeaseResponse
-			_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), PathLease, LeaseRequest{Bid: b, Release: true}, &say, h.host.Heartbeats(0.8))
+			var say nodeapi.LeaseResponse
+			_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathLease, nodeapi.LeaseRequest{Bid: b, Release: true}, &say, h.host.Heartbeats(0.8))
 		}()
 	}
 }
 
 // handleLeaseRequest answers as a voter; what it granted is on disk before the answer leaves.
-func (h *ControlServer) handleLeaseRequest(m LeaseRequest) (say LeaseResponse, err error) {
+func (h *Server) handleLeaseRequest(m nodeapi.LeaseRequest) (say nodeapi.LeaseResponse, err error) {
 	done := make(chan error, 1)
 	h.loop.Call(func() {
 		now := h.host.Now()
@@ -155,8 +157,8 @@
 			done <- nil
 			return
 		}
-		records, write := h.voter.Records()
-		h.writeRecord(RecordLeases, records, func(err error) {
+		granted, write := h.voter.Records()
+		h.writeRecord(records.KeyLeases, granted, func(err error) {
 			if err == nil {
 				h.loop.Submit(func() { h.voter.MarkDurable(write) })
 			}
@@ -172,13 +174,13 @@
 }
 
 // grantLease lets the voter answer; it runs on the desk.
-func (h *ControlServer) grantLease(b lease.Request, now time.Duration) (lease.Response, int64) {
+func (h *Server) grantLease(b lease.Request, now time.Duration) (lease.Response, int64) {
 	h.voter.SetReconfigurationPending(h.acceptor.AcceptedValue != nil && len(h.acceptor.AcceptedValue.Voters) > 0)
 	return h.voter.HandleRequest(b, now)
 }
 
 // leaseRenewals go with a beat of the holder; it runs on the desk.
-func (h *ControlServer) leaseRenewals(now time.Duration) (b lease.Request, out map[string]LeaseRenewal) {
+func (h *Server) leaseRenewals(now time.Duration) (b lease.Request, out map[string]nodeapi.LeaseRenewal) {
 	if h.host.Draining.Load() {
 		return b, nil
 	}
@@ -189,12 +191,12 @@
 	if g, write := h.grantLease(b, now); write == 0 {
 		h.pollLease.OnResponse(b, g, now, now)
 	}
-	return b, map[string]LeaseRenewal{b.Role: {b.Epoch, b.Incarnation, b.VotersSlot}}
+	return b, map[string]nodeapi.LeaseRenewal{b.Role: {Epoch: b.Epoch, Life: b.Incarnation, VotersSlot: b.VotersSlot}}
 }
 
 // grantRenewals answers the renewals of a beat: those that need no write are granted,
 // the others must be bid for. It runs on the desk.
-func (h *ControlServer) grantRenewals(m Heartbeat) (granted []string) {
+func (h *Server) grantRenewals(m nodeapi.Heartbeat) (granted []string) {
 	for duty, r := range m.Renews {
 		if g, write := h.grantLease(lease.Request{Role: duty, Epoch: r.Epoch, Holder: m.ID, Incarnation: r.Life, VotersSlot: r.VotersSlot}, h.host.Now()); g.Granted && write == 0 {
 			granted = append(granted, duty)
@@ -204,14 +206,14 @@
 }
 
 // onRenewals takes the answer to renewals sent then; it runs on the desk.
-func (h *ControlServer) onRenewals(b lease.Request, say Heartbeat, sent time.Duration) {
+func (h *Server) onRenewals(b lease.Request, say nodeapi.Heartbeat, sent time.Duration) {
 	if b.Epoch > 0 && slices.Contains(say.Granted, b.Role) {
 		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, Granted: true}, sent, h.host.Now())
 	}
 }
 
 // resignLease gives the duty back for good: this node leaves.
-func (h *ControlServer) resignLease() {
+func (h *Server) resignLease() {
 	var b lease.Request
 	yields := false
 	h.loop.Call(func() { b, yields = h.pollLease.Release(true, h.host.Now()) })
--- a/internal/lodge/members.go
+++ b/internal/control/membership.go
@@ -1,9 +1,11 @@
-package lodge
+package control
 
 import (
 	"errors"
 	"math/rand/v2"
 	"slices"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -16,12 +18,12 @@
 // is who asks whom, and for how long.
 
 // replacementTimeout is after how long a voter may lose its place.
-func (h *ControlServer) replacementTimeout() time.Duration {
+func (h *Server) replacementTimeout() time.Duration {
 	return config.Seconds(h.host.Settings().Bounds.CatchUpS, 0.5)
 }
 
 // detectorTick notes that this node runs; it runs on the desk.
-func (h *ControlServer) detectorTick() {
+func (h *Server) detectorTick() {
 	if h.detector.Tick(h.host.Now()) {
 		events.Log(events.FailureDetectorReset)
 	}
@@ -29,18 +31,18 @@
 
 // onFrontCount remembers how many fronts another hut counts: a node that nobody
 // watches, or that is young, goes by it. It runs on the desk.
-func (h *ControlServer) onFrontCount(n int, now time.Duration) {
+func (h *Server) onFrontCount(n int, now time.Duration) {
 	if now < config.Seconds(h.host.Settings().Bounds.RetryWindowS, 1) {
 		h.inheritedFrontCount = max(h.inheritedFrontCount, n)
 	}
 	if n > h.persistedFrontCount {
 		h.persistedFrontCount = n
-		h.writeRecord(RecordFrontCount, n, nil)
+		h.writeRecord(records.KeyFrontCount, n, nil)
 	}
 }
 
 // memberReport is what this node tells a judge.
-func (h *ControlServer) memberReport() (say membership.Report) {
+func (h *Server) memberReport() (say membership.Report) {
 	h.loop.Call(func() {
 		now := h.host.Now()
 		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.Draining.Load()}
@@ -54,14 +56,14 @@
 }
 
 // persistAndReport tells what this node holds, once all of it is on its disk.
-func (h *ControlServer) persistAndReport() (held Heartbeat, err error) {
+func (h *Server) persistAndReport() (held nodeapi.Heartbeat, err error) {
 	done := make(chan error, 1)
 	h.loop.Call(func() {
 		held = h.heartbeat()
 		held.Fronts = h.persistedFrontCount
 		// The store writes in order: once this is on disk, so is all before it.
 		s := h.acceptor.State
-		h.store.PutAll(StateRecords(s, s.Version, s.AppliedCount), func(e error) {
+		h.store.PutAll(records.StateRecords(s, s.Version, s.AppliedCount), func(e error) {
 			if e == nil {
 				h.loop.Submit(func() { h.acceptor.MarkStateDurable(s.Slot); h.wakeDurabilityWaiters() })
 			}
@@ -77,14 +79,14 @@
 }
 
 // ensureDurableAt sees to it that another hut has s, or something newer, on its disk.
-func (h *ControlServer) ensureDurableAt(ip string, s consensus.State, until time.Time) (held Heartbeat, ok bool) {
+func (h *Server) ensureDurableAt(ip string, s consensus.State, until time.Time) (held nodeapi.Heartbeat, ok bool) {
 	addr := h.host.Settings().InternalAddress(ip)
 	for try := 0; ; try++ {
 		within := min(h.host.Heartbeats(0.6), time.Until(until))
 		if within <= 0 {
 			return held, false
 		}
-		err := h.host.Client.CallJSON(addr, PathPersist, struct{}{}, &held, within)
+		err := h.host.Client.CallJSON(addr, nodeapi.PathPersist, struct{}{}, &held, within)
 		if err == nil && held.Slot >= s.Slot {
 			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held.Slot) })
 			return held, true
@@ -102,7 +104,7 @@
 
 // resendState tells a voter again that did not confirm a decided slot; what comes
 // later than this is left to the beats.
-func (h *ControlServer) resendState(ip string, s consensus.State) {
+func (h *Server) resendState(ip string, s consensus.State) {
 	for try := 0; try < maxResends; try++ {
 		select {
 		case <-h.host.Stopping:
@@ -123,7 +125,7 @@
 }
 
 // voterIDAt is the identity that votes at an address; it runs on the desk.
-func (h *ControlServer) voterIDAt(ip string) string {
+func (h *Server) voterIDAt(ip string) string {
 	for _, v := range h.acceptor.State.Voters {
 		if v.IP == ip {
 			return v.ID
@@ -133,7 +135,7 @@
 }
 
 // joinLoop asks for a vote as long as this node has none, after catching up.
-func (h *ControlServer) joinLoop() {
+func (h *Server) joinLoop() {
 	wait := h.host.Heartbeats(0.05)
 	for {
 		select {
@@ -154,18 +156,18 @@
 // peekedPeer is a hut that answered.
 type peekedPeer struct {
 	ip  string
-	say PeekResponse
+	say nodeapi.PeekResponse
 }
 
 // peekPeers asks all known huts at once what they hold, and waits a little longer
 // than for the first answer.
-func (h *ControlServer) peekPeers() (out []peekedPeer) {
+func (h *Server) peekPeers() (out []peekedPeer) {
 	ips := slices.DeleteFunc(h.host.ControlIPs(), func(ip string) bool { return ip == h.host.Settings().IpAddress })
 	in := make(chan *peekedPeer, len(ips))
 	for _, ip := range ips {
 		go func() {
 			x := peekedPeer{ip: ip}
-			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathPeek, struct{}{}, &x.say, h.host.Heartbeats(0.8)) != nil {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathPeek, struct{}{}, &x.say, h.host.Heartbeats(0.8)) != nil {
 				in <- nil
 				return
 			}
@@ -192,7 +194,7 @@
 
 // catchUp takes the newest state that a hut in reach has, and lists the voters
 // among those that answered, the ones that know most first.
-func (h *ControlServer) catchUp() (judges []string) {
+func (h *Server) catchUp() (judges []string) {
 	seen := h.peekPeers()
 	slices.SortStableFunc(seen, func(a, b peekedPeer) int { return int(b.say.Slot - a.say.Slot) })
 	s := h.State()
@@ -202,11 +204,11 @@
 		}
 		slot, fits := int64(0), false
 		for _, at := range []int64{s.Slot, consensus.NoSlot} {
-			var got StateDelta
+			var got nodeapi.StateDelta
 			if fits || len(s.Voters) == 0 && at != consensus.NoSlot {
 				continue
 			}
-			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(x.ip), PathState, StateRequest{at}, &got, h.host.Heartbeats(1)) != nil || at == consensus.NoSlot && len(got.Voters) == 0 {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(x.ip), nodeapi.PathState, nodeapi.StateRequest{Slot: at}, &got, h.host.Heartbeats(1)) != nil || at == consensus.NoSlot && len(got.Voters) == 0 {
 				break
 			}
 			slot = got.Slot
@@ -231,7 +233,7 @@
 }
 
 // requestVote asks the judges for a vote: the next one as well when one takes long.
-func (h *ControlServer) requestVote(judges []string) {
+func (h *Server) requestVote(judges []string) {
 	in := make(chan bool, len(judges))
 	asked, said := 0, 0
 	for said < len(judges) {
@@ -239,8 +241,8 @@
 			ip := judges[asked]
 			asked++
 			go func() {
-				var say JoinResponse
-				err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathJoin, JoinRequest{h.acceptor.ID, h.host.Settings().IpAddress, h.waitDurable()}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.4))
+				var say nodeapi.JoinResponse
+				err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathJoin, nodeapi.JoinRequest{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, Slot: h.waitDurable()}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.4))
 				events.Log(events.JoinRequested, "of", ip, "votes", say.Votes, "err", err)
 				in <- err == nil && say.Votes
 			}()
@@ -262,7 +264,7 @@
 }
 
 // evaluateJoin asks the voters and the newcomer, and judges.
-func (h *ControlServer) evaluateJoin(m JoinRequest, s consensus.State) ([]consensus.Voter, membership.Decision) {
+func (h *Server) evaluateJoin(m nodeapi.JoinRequest, s consensus.State) ([]consensus.Voter, membership.Decision) {
 	c := membership.Admission{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, NewcomerSlot: m.Slot, TargetVoters: h.targetVoters(), Leaving: map[string]bool{}, VoterReports: []membership.Report{h.memberReport()}}
 	h.loop.Call(func() {
 		for _, v := range s.Voters {
@@ -285,7 +287,7 @@
 	for _, ip := range ips {
 		go func() {
 			var say membership.Report
-			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathSilentVoters, struct{}{}, &say, h.host.Heartbeats(0.4)) != nil {
+			if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathSilentVoters, struct{}{}, &say, h.host.Heartbeats(0.4)) != nil {
 				in <- answer{ip, nil}
 				return
 			}
@@ -313,9 +315,9 @@
 // handleJoin gives a node a vote, if there is a place for it: the newcomer has
 // the state that the change is proposed on, on its disk, before it is proposed,
 // and a majority of the new voters has the change on disk before it is told.
-func (h *ControlServer) handleJoin(m JoinRequest) JoinResponse {
+func (h *Server) handleJoin(m nodeapi.JoinRequest) nodeapi.JoinResponse {
 	if m.ID == "" || m.IP == "" {
-		return JoinResponse{}
+		return nodeapi.JoinResponse{}
 	}
 	until := time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.35))
 	for try := 0; time.Now().Before(until); try++ {
@@ -323,13 +325,13 @@
 		voters, v := h.evaluateJoin(m, s)
 		switch v {
 		case membership.AlreadyVoter:
-			return JoinResponse{Votes: h.majorityDurable(s, until), Slot: s.Slot}
+			return nodeapi.JoinResponse{Votes: h.majorityDurable(s, until), Slot: s.Slot}
 		case membership.EvaluatorBehind:
 			h.propose(s, nil)
 			continue
 		}
 		if voters == nil {
-			return JoinResponse{Slot: s.Slot}
+			return nodeapi.JoinResponse{Slot: s.Slot}
 		}
 		h.loop.Call(func() {
 			if o, ok := h.peers[m.IP]; !ok || o.id != m.ID {
@@ -338,19 +340,19 @@
 		})
 		// Most of it is handed over before orders have to wait for it.
 		if held, ok := h.ensureDurableAt(m.IP, s, until); !ok || held.ID != m.ID {
-			return JoinResponse{Slot: s.Slot}
+			return nodeapi.JoinResponse{Slot: s.Slot}
 		}
 		if chosen, ok := h.changeVoters(m, s.Voters, voters, until); ok {
 			on := h.majorityDurable(chosen, until)
 			events.Log(events.VoterAdded, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
-			return JoinResponse{Votes: on, Slot: chosen.Slot}
+			return nodeapi.JoinResponse{Votes: on, Slot: chosen.Slot}
 		}
 	}
-	return JoinResponse{Slot: h.State().Slot}
+	return nodeapi.JoinResponse{Slot: h.State().Slot}
 }
 
 // changeVoters has the voters changed from those that the case was judged by.
-func (h *ControlServer) changeVoters(m JoinRequest, from, to []consensus.Voter, until time.Time) (consensus.State, bool) {
+func (h *Server) changeVoters(m nodeapi.JoinRequest, from, to []consensus.Voter, until time.Time) (consensus.State, bool) {
 	if !h.proposalLock.LockUrgent(time.Until(until)) {
 		return consensus.State{}, false
 	}
@@ -382,7 +384,7 @@
 }
 
 // majorityDurable waits until a majority of the voters has their set on disk.
-func (h *ControlServer) majorityDurable(s consensus.State, until time.Time) bool {
+func (h *Server) majorityDurable(s consensus.State, until time.Time) bool {
 	in := make(chan bool, len(s.Voters))
 	for _, v := range s.Voters {
 		go func() {
@@ -408,15 +410,15 @@
 }
 
 // toleratedLosses is how many machines may be lost at once.
-func (h *ControlServer) toleratedLosses() int {
+func (h *Server) toleratedLosses() int {
 	return int(h.host.Settings().ToleratedLosses.GetMachines())
 }
 
 // targetVoters is how many voters bear the losses that the settings name.
-func (h *ControlServer) targetVoters() int { return 2*h.toleratedLosses() + 1 }
+func (h *Server) targetVoters() int { return 2*h.toleratedLosses() + 1 }
 
 // stayingPeers lists the other huts that were heard lately and don't leave; it runs on the desk.
-func (h *ControlServer) stayingPeers() []string {
+func (h *Server) stayingPeers() []string {
 	var out []string
 	now := h.host.Now()
 	for ip, o := range h.peers {
@@ -428,7 +430,7 @@
 }
 
 // standbyCount counts those that stay and have no vote; it runs on the desk.
-func (h *ControlServer) standbyCount() (n int) {
+func (h *Server) standbyCount() (n int) {
 	for _, ip := range h.stayingPeers() {
 		if !h.acceptor.State.IsVoter(h.peers[ip].id) {
 			n++
@@ -441,7 +443,7 @@
 // as many voters as that takes, as far as there are nodes to vote, and enough
 // of those that hold it stay. A node that has been up for long without seeing
 // the others come settles for those that are there.
-func (h *ControlServer) waitReplicated(until time.Time) bool {
+func (h *Server) waitReplicated(until time.Time) bool {
 	slot := h.State().Slot
 	for {
 		enough := false
@@ -473,7 +475,7 @@
 // Drain hands over what this node holds, and goes on answering meanwhile. In
 // its last part it takes no more orders, so that none is acknowledged here
 // that nobody else has.
-func (h *ControlServer) Drain(start time.Time, grace time.Duration) {
+func (h *Server) Drain(start time.Time, grace time.Duration) {
 	at := func(ratio float64) time.Time { return start.Add(time.Duration(float64(grace) * ratio)) }
 	h.loop.Call(h.notifyWatchers)
 	h.finishAccepted(at(0.15))
@@ -491,7 +493,7 @@
 
 // finishAccepted has the open slot decided where this node accepted a value for
 // it: before others hear that it leaves and have its place changed by that slot.
-func (h *ControlServer) finishAccepted(until time.Time) {
+func (h *Server) finishAccepted(until time.Time) {
 	for try := 0; time.Now().Before(until); try++ {
 		var s consensus.State
 		begun := false
@@ -507,12 +509,12 @@
 
 // handOffAll brings to the others what this node holds, until all of it is on
 // enough disks.
-func (h *ControlServer) handOffAll(until time.Time) (p membership.DrainProgress) {
+func (h *Server) handOffAll(until time.Time) (p membership.DrainProgress) {
 	finish := make(chan struct{}, 1)
 	for {
 		var s consensus.State
 		var to []string
-		var mine Heartbeat
+		var mine nodeapi.Heartbeat
 		h.loop.Call(func() {
 			s, to, mine = h.acceptor.State, h.stayingPeers(), h.heartbeat()
 			p = membership.DrainProgress{ProposalPending: h.acceptor.AcceptedValue != nil, IsVoter: s.IsVoter(h.acceptor.ID), StandbyAvailable: h.standbyCount() > 0, StayingNodes: len(to), ToleratedFailures: h.toleratedLosses()}
@@ -525,7 +527,7 @@
 			}
 		}
 		h.sendHeartbeats()
-		in := make(chan *Heartbeat, len(to))
+		in := make(chan *nodeapi.Heartbeat, len(to))
 		by := earlier(until, time.Now().Add(h.host.Heartbeats(0.5)))
 		for _, ip := range to {
 			go func() {
--- a/internal/lodge/persist.go
+++ b/internal/control/persist.go
@@ -1,18 +1,19 @@
-package lodge
+package control
 
 import (
 	"slices"
 	"swiftswitch/internal/config"
+	"swiftswitch/internal/records"
 	"time"
 )
 
 // persistState writes the decided state; what is large is written only where it
 // changed. It runs on the desk.
-func (h *ControlServer) persistState() {
+func (h *Server) persistState() {
 	s := h.acceptor.State
 	version, seq := h.lastWrite.version, h.lastWrite.takenSeq
 	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.AppliedCount
-	h.store.PutAll(StateRecords(s, version, seq), func(err error) {
+	h.store.PutAll(records.StateRecords(s, version, seq), func(err error) {
 		h.loop.Submit(func() {
 			if err == nil {
 				h.acceptor.MarkStateDurable(s.Slot)
@@ -33,7 +34,7 @@
 }
 
 // wakeDurabilityWaiters answers those that wait for the state to be on disk; it runs on the desk.
-func (h *ControlServer) wakeDurabilityWaiters() {
+func (h *Server) wakeDurabilityWaiters() {
 	h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(w durabilityWaiter) bool {
 		if w.slot > h.acceptor.DurableSlot() {
 			return false
@@ -50,7 +51,7 @@
 
 // waitDurable waits until what this node knows as decided is on its disk, or for a
 // while, and gives the slot up to which it is.
-func (h *ControlServer) waitDurable() (slot int64) {
+func (h *Server) waitDurable() (slot int64) {
 	w := durabilityWaiter{done: make(chan struct{})}
 	h.loop.Call(func() {
 		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.DurableSlot() {
--- a/internal/lodge/poll.go
+++ b/internal/control/poller.go
@@ -1,10 +1,11 @@
-package lodge
+package control
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net/url"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -13,7 +14,7 @@
 )
 
 // pollLoop reads the platform's list while this node has the duty.
-func (h *ControlServer) pollLoop() {
+func (h *Server) pollLoop() {
 	for {
 		var epoch int64
 		var silence, holds bool
@@ -49,7 +50,7 @@
 // catchUpTable brings the newest table that a voter held when it granted the
 // epoch: what is reported under it must rest on that. A voter that is gone
 // since is not waited for.
-func (h *ControlServer) catchUpTable(epoch int64) bool {
+func (h *Server) catchUpTable(epoch int64) bool {
 	var from, held endpoints.Stamp
 	ip, id := "", ""
 	h.loop.Call(func() {
@@ -66,11 +67,11 @@
 	if ip == "" {
 		return true
 	}
-	var say TableFetchResponse
-	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathTableFetch, TableFetchRequest{held}, &say, h.host.Heartbeats(0.8))
+	var say nodeapi.TableFetchResponse
+	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathTableFetch, nodeapi.TableFetchRequest{Stamp: held}, &say, h.host.Heartbeats(0.8))
 	var d *endpoints.Delta
 	if err == nil {
-		d, err = UnpackTableDelta(say.Delta, h.host.MaxMessageBytes())
+		d, err = nodeapi.UnpackTableDelta(say.Delta, h.host.MaxMessageBytes())
 	}
 	if err != nil {
 		events.Log(events.TableSyncFailed, "voter", id, "err", err)
@@ -83,7 +84,7 @@
 
 // pollOnce reads the list whole and merges it under this node's epoch. A list
 // whose reading began or ended outside the lease counts for nothing.
-func (h *ControlServer) pollOnce(epoch int64) {
+func (h *Server) pollOnce(epoch int64) {
 	list, err := h.fetchInstances()
 	if err != nil {
 		events.Log(events.DiscoveryFailed, "err", err)
@@ -115,7 +116,7 @@
 }
 
 // mergeTable takes a table of another hut; it runs on the desk.
-func (h *ControlServer) mergeTable(t *endpoints.Table) {
+func (h *Server) mergeTable(t *endpoints.Table) {
 	if t.Stamp.Epoch < h.pollLease.ObservedEpoch && h.table != nil {
 		if t.Stamp.Before(h.table.Stamp) {
 			events.Log(events.StaleEpochRejected, "epoch", t.Stamp.Epoch, "known", h.pollLease.ObservedEpoch)
@@ -129,7 +130,7 @@
 }
 
 // fetchInstances reads all pages of the platform's list.
-func (h *ControlServer) fetchInstances() ([]endpoints.Endpoint, error) {
+func (h *Server) fetchInstances() ([]endpoints.Endpoint, error) {
 	var out []endpoints.Endpoint
 	token := ""
 	seen := map[string]bool{}
--- a/internal/lodge/turns.go
+++ b/internal/control/proposal_lock.go
@@ -1,4 +1,4 @@
-package lodge
+package control
 
 import (
 	"slices"
--- a/internal/lodge/agree.go
+++ b/internal/control/propose.go
@@ -1,7 +1,9 @@
-package lodge
+package control
 
 import (
 	"math/rand/v2"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -10,7 +12,7 @@
 )
 
 // backOff backs off for a random part of the time for an acknowledgement.
-func (h *ControlServer) backOff(try int) {
+func (h *Server) backOff(try int) {
 	most := 0.008 * float64(min(try+1, 6))
 	time.Sleep(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
 }
@@ -19,13 +21,13 @@
 // for: had this node moved on in the meantime, own would rest on something
 // that is no longer so. It returns true when the node's state is a later one
 // in the end, whoever's value it was.
-func (h *ControlServer) propose(base consensus.State, own *consensus.Value) bool {
+func (h *Server) propose(base consensus.State, own *consensus.Value) bool {
 	return h.proposeUntil(base, own, time.Time{})
 }
 
 // proposeUntil is a round that proposes nothing of its own once until is past,
 // whatever this node was held up by since it asked for promises.
-func (h *ControlServer) proposeUntil(base consensus.State, own *consensus.Value, until time.Time) bool {
+func (h *Server) proposeUntil(base consensus.State, own *consensus.Value, until time.Time) bool {
 	var b consensus.Ballot
 	moved := false
 	h.loop.Call(func() {
@@ -42,14 +44,14 @@
 			p.Stage = consensus.StageAborted
 			break
 		}
-		stage, m := p.Stage, ConsensusRequest{Request: p.Request()}
+		stage, m := p.Stage, nodeapi.ConsensusRequest{Request: p.Request()}
 		if v := m.Value; v != nil && v.Body != "" {
-			packed, err := CompressDelta(base.Body, v.Body)
+			packed, err := codec.CompressDelta(base.Body, v.Body)
 			if err != nil {
 				events.Log(events.InvariantViolated, "pack", err)
 				panic(err)
 			}
-			m.Value, m.Packed = WithoutBody(v, packed), packed
+			m.Value, m.Packed = nodeapi.WithoutBody(v, packed), packed
 		}
 		type heard struct {
 			say consensus.Response
@@ -59,11 +61,11 @@
 		for _, v := range base.Voters {
 			go func() {
 				var x heard
-				var say ConsensusResponse
+				var say nodeapi.ConsensusResponse
 				if v.IP == h.host.Settings().IpAddress {
 					say, x.err = h.handleConsensus(m)
 				} else {
-					x.err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), PathConsensus, m, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3))
+					x.err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathConsensus, m, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3))
 				}
 				if x.err == nil {
 					x.say, x.err = h.unpackResponse(base, say)
@@ -100,7 +102,7 @@
 // finishAcceptedLoop brings to an end what this voter accepted and hears no more of:
 // its proposer may be gone, and until the slot is decided a change of voters
 // may be in force that nobody knows, or still come into force late.
-func (h *ControlServer) finishAcceptedLoop() {
+func (h *Server) finishAcceptedLoop() {
 	var seen consensus.Ballot
 	for {
 		select {
@@ -121,14 +123,14 @@
 }
 
 // disseminate spreads a decided slot to the other huts.
-func (h *ControlServer) disseminate(b consensus.Ballot, s consensus.State) {
+func (h *Server) disseminate(b consensus.Ballot, s consensus.State) {
 	var to []string
 	h.loop.Call(func() { to = h.peerIPs() })
 	for _, ip := range to {
 		go func() {
-			var say LearnResponse
+			var say nodeapi.LearnResponse
 			addr := h.host.Settings().InternalAddress(ip)
-			err := h.host.Client.CallJSON(addr, PathLearn, LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.Heartbeats(1))
+			err := h.host.Client.CallJSON(addr, nodeapi.PathLearn, nodeapi.LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.Heartbeats(1))
 			if err == nil && say.Slot < s.Slot {
 				say.Slot = h.sendState(ip, say.Slot, h.host.Heartbeats(1))
 			}
@@ -148,7 +150,7 @@
 
 // readQuorum gives the newest decided state: a majority of the voters knows of no
 // later slot and has begun none. What was begun is finished first.
-func (h *ControlServer) readQuorum(within time.Duration) (consensus.State, bool) {
+func (h *Server) readQuorum(within time.Duration) (consensus.State, bool) {
 	until := time.Now().Add(within)
 	for try := 0; ; try++ {
 		began := h.host.Now()
@@ -156,13 +158,15 @@
 		if h.isolated() {
 			return s, false
 		}
-		in := make(chan *PeekResponse, len(s.Voters))
+		in := make(chan *nodeapi.PeekResponse, len(s.Voters))
 		for _, v := range s.Voters {
 			go func() {
-				var say PeekResponse
+				var say nodeapi.PeekResponse
 				if v.IP == h.host.Settings().IpAddress {
-					h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.AcceptedValue != nil} })
-				} else if h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), PathPeek, struct{}{}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.2)) != nil {
+					h.loop.Call(func() {
+						say = nodeapi.PeekResponse{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Begun: h.acceptor.AcceptedValue != nil}
+					})
+				} else if h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathPeek, struct{}{}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
 				}
--- a/internal/lodge/purge.go
+++ b/internal/control/purge.go
@@ -1,4 +1,4 @@
-package lodge
+package control
 
 import (
 	"time"
@@ -29,7 +29,7 @@
 // acknowledged once the caches lately heard hold it, or soon after. A purge has
 // no name on the wire, so one that is sent again may purge again: copies are
 // dropped and fetched once more, and nothing older comes of it.
-func (h *ControlServer) HandlePurge(c *app.RequestContext, until time.Time) {
+func (h *Server) HandlePurge(c *app.RequestContext, until time.Time) {
 	if len(c.Request.Body()) > MaxPurgeBytes {
 		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
 		return
@@ -60,7 +60,7 @@
 }
 
 // purgeLoop decides the purges that wait, many at once.
-func (h *ControlServer) purgeLoop() {
+func (h *Server) purgeLoop() {
 	for {
 		var batch []*pendingPurge
 		select {
@@ -111,7 +111,7 @@
 }
 
 // decidePurges has a batch decided and tells whose purges are.
-func (h *ControlServer) decidePurges(batch []*pendingPurge) map[*pendingPurge]bool {
+func (h *Server) decidePurges(batch []*pendingPurge) map[*pendingPurge]bool {
 	h.proposalLock.Lock()
 	defer h.proposalLock.Unlock()
 	purges, of, until := distinctPurges(batch, time.Now())
@@ -135,7 +135,7 @@
 }
 
 // handleCacheJoin makes a node one of the larders, which changes the parts of all of them.
-func (h *ControlServer) handleCacheJoin(l consensus.CacheNode) bool {
+func (h *Server) handleCacheJoin(l consensus.CacheNode) bool {
 	if l.IP == "" {
 		return false
 	}
@@ -150,7 +150,7 @@
 }
 
 // changeCacheNodes proposes another list; nil from change means that it is as wanted.
-func (h *ControlServer) changeCacheNodes(change func([]consensus.CacheNode) []consensus.CacheNode) bool {
+func (h *Server) changeCacheNodes(change func([]consensus.CacheNode) []consensus.CacheNode) bool {
 	if !h.proposalLock.LockUrgent(h.host.Heartbeats(0.3)) {
 		return false
 	}
@@ -173,7 +173,7 @@
 
 // removeSilentCacheNodes takes larders off the list that have been silent for CatchUpS; the
 // node that polls does it. Long before, such a node has stopped fetching.
-func (h *ControlServer) removeSilentCacheNodes() {
+func (h *Server) removeSilentCacheNodes() {
 	var gone map[string]bool
 	h.loop.Call(func() {
 		now := h.host.Now()
--- a/internal/lodge/rollout.go
+++ b/internal/control/rollout.go
@@ -1,8 +1,10 @@
-package lodge
+package control
 
 import (
 	"slices"
 	"strings"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -53,12 +55,12 @@
 }
 
 // rolloutRunning tells whether an order is not settled; it runs on the desk.
-func (h *ControlServer) rolloutRunning(order int64) bool {
+func (h *Server) rolloutRunning(order int64) bool {
 	return slices.ContainsFunc(h.acceptor.State.Rollouts, func(r consensus.Rollout) bool { return r.OrderSlot == order && r.Running() })
 }
 
 // applyRollouts takes the orders as they were decided; it runs on the desk.
-func (h *ControlServer) applyRollouts() {
+func (h *Server) applyRollouts() {
 	now, known := h.host.Now(), h.rollouts.phaseKnownAt
 	h.rollouts.phaseKnownAt = map[int64]knownPhase{}
 	ordered := h.rollouts.orderKnownAt
@@ -89,13 +91,13 @@
 }
 
 // persistTerms keeps on disk how much of the terms is over; it runs on the desk.
-func (h *ControlServer) persistTerms(now time.Duration) {
+func (h *Server) persistTerms(now time.Duration) {
 	h.rollouts.termsNotedAt = now
-	h.writeRecord(RecordTerms, h.rollouts.clock.Note(h.rolloutRunning, time.Now(), now), nil)
+	h.writeRecord(records.KeyTerms, h.rollouts.clock.Note(h.rolloutRunning, time.Now(), now), nil)
 }
 
 // onRolloutReport takes what a front saw; it runs on the desk.
-func (h *ControlServer) onRolloutReport(m RolloutReport) {
+func (h *Server) onRolloutReport(m nodeapi.RolloutReport) {
 	if h.rollouts.reporters[m.Name] == nil {
 		h.rollouts.reporters[m.Name] = &rollout.Teller{}
 	}
@@ -107,13 +109,13 @@
 }
 
 // onRolloutTotals takes all that another hut was told; it runs on the desk.
-func (h *ControlServer) onRolloutTotals(m RolloutTotals) {
+func (h *Server) onRolloutTotals(m nodeapi.RolloutTotals) {
 	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.Now(), m.Behind}
 	h.evaluate(h.rollouts.totals.Merge(m.ID, m.Life, m.Seq, m.Entries))
 }
 
 // evaluate gives what is new to the judges; it runs on the desk.
-func (h *ControlServer) evaluate(news []rollout.Entry) {
+func (h *Server) evaluate(news []rollout.Entry) {
 	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range news {
 		byOrder[e.Order] = append(byOrder[e.Order], e)
@@ -125,7 +127,7 @@
 	}
 }
 
-func (h *ControlServer) evaluator(r consensus.Rollout) *rollout.Judge {
+func (h *Server) evaluator(r consensus.Rollout) *rollout.Judge {
 	j := h.rollouts.evaluators[r.OrderSlot]
 	if j == nil {
 		j = rollout.NewJudge(h.host.Options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, h.host.Now())
@@ -136,7 +138,7 @@
 
 // laggingFronts counts, by order, the fronts that this hut heard lately and that do
 // not know the present phase; it runs on the desk.
-func (h *ControlServer) laggingFronts() map[int64]int {
+func (h *Server) laggingFronts() map[int64]int {
 	out := map[int64]int{}
 	now := h.host.Now()
 	for _, r := range h.acceptor.State.Rollouts {
@@ -153,7 +155,7 @@
 }
 
 // rolloutLoop carries the orders that run.
-func (h *ControlServer) rolloutLoop() {
+func (h *Server) rolloutLoop() {
 	for {
 		select {
 		case <-h.host.Stopping:
@@ -161,14 +163,14 @@
 		case <-time.After(h.host.Heartbeats(0.15)):
 		}
 		var steps []consensus.Rollout
-		var send *RolloutTotals
+		var send *nodeapi.RolloutTotals
 		to := ""
 		h.loop.Call(func() {
 			steps, send, to = h.rolloutStep()
 		})
 		if send != nil && to != "" {
 			go func() {
-				_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(to), PathRolloutTotals, *send, nil, h.host.Heartbeats(0.5))
+				_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(to), nodeapi.PathRolloutTotals, *send, nil, h.host.Heartbeats(0.5))
 			}()
 		}
 		for _, r := range steps {
@@ -179,7 +181,7 @@
 
 // rolloutStep does what is due now: it notes the time, tells the node with the duty
 // what was seen, or, on that node, gives the phases to propose. It runs on the desk.
-func (h *ControlServer) rolloutStep() (steps []consensus.Rollout, send *RolloutTotals, to string) {
+func (h *Server) rolloutStep() (steps []consensus.Rollout, send *nodeapi.RolloutTotals, to string) {
 	now, c := h.host.Now(), &h.rollouts
 	running := slices.DeleteFunc(slices.Clone(h.acceptor.State.Rollouts), func(r consensus.Rollout) bool { return !r.Running() })
 	if len(running) == 0 {
@@ -203,7 +205,7 @@
 				to = ip
 			}
 		}
-		return nil, &RolloutTotals{h.acceptor.ID, h.incarnation, c.sequence, own, h.laggingFronts()}, to
+		return nil, &nodeapi.RolloutTotals{ID: h.acceptor.ID, Life: h.incarnation, Seq: c.sequence, Entries: own, Behind: h.laggingFronts()}, to
 	}
 	h.evaluate(c.totals.Merge(h.acceptor.ID, h.incarnation, c.sequence, own))
 	lag := h.laggingFronts()
@@ -236,7 +238,7 @@
 
 // capacity counts the slots of the new version's warm searchers, and those of
 // the old version's; it runs on the desk.
-func (h *ControlServer) capacity(r consensus.Rollout) (ready, old int) {
+func (h *Server) capacity(r consensus.Rollout) (ready, old int) {
 	if h.table == nil {
 		return 0, 0
 	}
@@ -256,7 +258,7 @@
 
 // proposePhase proposes a phase. Whoever proposes what, the log takes only a later
 // phase of the same order.
-func (h *ControlServer) proposePhase(r consensus.Rollout) {
+func (h *Server) proposePhase(r consensus.Rollout) {
 	if !h.proposalLock.TryLock() {
 		return
 	}
@@ -298,9 +300,9 @@
 const duplicateOrderWindow = 3
 
 // HandleRollout takes the operator's calls.
-func (h *ControlServer) HandleRollout(c *app.RequestContext, path string, until time.Time) {
+func (h *Server) HandleRollout(c *app.RequestContext, path string, until time.Time) {
 	if string(c.Request.Header.Method()) == "GET" {
-		h.answerRollouts(c, strings.Trim(strings.TrimPrefix(path, PathRollouts), "/"), until)
+		h.answerRollouts(c, strings.Trim(strings.TrimPrefix(path, nodeapi.PathRollouts), "/"), until)
 		return
 	}
 	if len(c.Request.Body()) > maxRolloutBytes {
@@ -333,7 +335,7 @@
 // decideOrder settles an order: acknowledged once a majority has chosen it. Past
 // its caller's patience nothing is proposed, and what was taken earlier starts
 // nothing again. It is refused only for what a majority knows.
-func (h *ControlServer) decideOrder(o consensus.Rollout, until time.Time) (status int, why string) {
+func (h *Server) decideOrder(o consensus.Rollout, until time.Time) (status int, why string) {
 	h.proposalLock.Lock()
 	defer h.proposalLock.Unlock()
 	fresh := false
@@ -383,7 +385,7 @@
 
 // isDuplicateOrder tells whether an order is a copy of an earlier one of its service
 // that was decided so lately that it may only now have arrived.
-func (h *ControlServer) isDuplicateOrder(s consensus.State, o consensus.Rollout) bool {
+func (h *Server) isDuplicateOrder(s consensus.State, o consensus.Rollout) bool {
 	slot, ok := s.EarlierOrder(o)
 	if !ok {
 		return false
@@ -400,7 +402,7 @@
 }
 
 // answerRollouts answers with the last order of a service, or with all.
-func (h *ControlServer) answerRollouts(c *app.RequestContext, service string, until time.Time) {
+func (h *Server) answerRollouts(c *app.RequestContext, service string, until time.Time) {
 	h.answerRead(c, until, func(s consensus.State) {
 		all := h.rolloutStatuses(s)
 		if service == "" {
@@ -418,7 +420,7 @@
 }
 
 // rolloutStatuses tells how far the orders are, the last changed first.
-func (h *ControlServer) rolloutStatuses(s consensus.State) []RolloutStatus {
+func (h *Server) rolloutStatuses(s consensus.State) []RolloutStatus {
 	out := []RolloutStatus{}
 	h.loop.Call(func() {
 		for _, r := range slices.Backward(s.Rollouts) {
--- a/internal/lodge/hut.go
+++ b/internal/control/server.go
@@ -1,10 +1,13 @@
-package lodge
+package control
 
 import (
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 	"sync/atomic"
 	"time"
 
@@ -25,8 +28,8 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// ControlServer is the part of a node with a disk. Its tables belong to one desk.
-type ControlServer struct {
+// Server is the part of a node with a disk. Its tables belong to one desk.
+type Server struct {
 	host  *host.Host
 	store *storage.Store
 	loop  *commandloop.Loop
@@ -42,11 +45,11 @@
 	lastWrite         struct{ version, takenSeq int64 }
 	durabilityWaiters []durabilityWaiter
 	// stateDeltas holds news for those behind, by the slot they are at.
-	stateDeltas map[int64]*StateDelta
+	stateDeltas map[int64]*nodeapi.StateDelta
 	table       *endpoints.Table
 	// pastBodies holds the last few configurations, packed what was made of them
 	// for who holds which of them.
-	pastBodies     []BodyRecord
+	pastBodies     []records.Body
 	packedVersions map[int64]packedVersion
 	// pastTables holds the last few tables, to tell what changed since them.
 	pastTables  []*endpoints.Table
@@ -103,7 +106,7 @@
 // as they take no more than a message may.
 const maxPastBodies = 8
 
-func NewControlServer(n *host.Host) (*ControlServer, error) {
+func New(n *host.Host) (*Server, error) {
 	s := n.Settings()
 	slow, again := config.Milliseconds(s.Bounds.AcknowledgeMs, 0.1), config.Milliseconds(s.Bounds.AcknowledgeMs, 0.04)
 	cel, err := storage.Open(s.DataDirectory, slow, again)
@@ -117,22 +120,22 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &ControlServer{host: n, store: cel, loop: commandloop.New(), handoff: handoff.NewTracker(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
+	h := &Server{host: n, store: cel, loop: commandloop.New(), handoff: handoff.NewTracker(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*nodeapi.StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
 		leaseRequests: map[string]bool{}, grantorTables: map[string]grantorTable{}, leaseAcquired: make(chan struct{}, 1), leaseReleased: make(chan struct{}, 1)}
 	leases := map[string]lease.Record{}
 	var id string
 	var terms rollout.Noted
-	err = Load(cel, map[string]any{RecordTerms: &terms, RecordIdentity: &id, RecordLeases: &leases, RecordTable: &h.table, RecordFrontCount: &h.inheritedFrontCount, RecordIncarnation: &h.incarnation})
+	err = records.Load(cel, map[string]any{records.KeyTerms: &terms, records.KeyIdentity: &id, records.KeyLeases: &leases, records.KeyTable: &h.table, records.KeyFrontCount: &h.inheritedFrontCount, records.KeyIncarnation: &h.incarnation})
 	if err != nil {
 		return nil, err
 	}
-	st, ballots, packed, err := LoadState(cel, n.MaxMessageBytes())
+	st, ballots, packed, err := records.LoadState(cel, n.MaxMessageBytes())
 	if err != nil {
 		return nil, err
 	}
 	h.lastWrite.version, h.lastWrite.takenSeq = st.Version, st.AppliedCount
 	h.incarnation++
-	records := map[string][]byte{RecordIncarnation: MustEncode(RecordIncarnation, h.incarnation)}
+	initial := map[string][]byte{records.KeyIncarnation: codec.MustEncode(records.KeyIncarnation, h.incarnation)}
 	if id == "" {
 		if s.FirstStart && !cel.Quarantined() {
 			ips := s.SeedIPs()
@@ -144,10 +147,10 @@
 			id = "later-" + s.IpAddress + "-" + host.RandomID()
 			events.Log(events.IdentityCreated, "id", id)
 		}
-		maps.Copy(records, StateRecords(st, -1, 0))
-		records[RecordIdentity] = MustEncode(RecordIdentity, id)
+		maps.Copy(initial, records.StateRecords(st, -1, 0))
+		initial[records.KeyIdentity] = codec.MustEncode(records.KeyIdentity, id)
 	}
-	if err := writeInitialRecords(cel.PutAll, records, until, again); err != nil {
+	if err := writeInitialRecords(cel.PutAll, initial, until, again); err != nil {
 		cel.Close(again)
 		return nil, err
 	}
@@ -188,11 +191,11 @@
 }
 
 // writeRecord writes one record.
-func (h *ControlServer) writeRecord(name string, v any, then func(error)) {
-	h.store.Put(name, MustEncode(name, v), then)
+func (h *Server) writeRecord(name string, v any, then func(error)) {
+	h.store.Put(name, codec.MustEncode(name, v), then)
 }
 
-func (h *ControlServer) Start() {
+func (h *Server) Start() {
 	go h.heartbeatLoop()
 	go h.leaseLoop()
 	go h.pollLoop()
@@ -203,7 +206,7 @@
 }
 
 // applyVoters follows the voters; it runs on the desk.
-func (h *ControlServer) applyVoters() {
+func (h *Server) applyVoters() {
 	var ids []string
 	for _, v := range h.acceptor.State.Voters {
 		ids = append(ids, v.ID)
@@ -214,13 +217,13 @@
 }
 
 // notifyWatchers wakes everybody who waits for news; it runs on the desk.
-func (h *ControlServer) notifyWatchers() {
+func (h *Server) notifyWatchers() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
 // learn takes decided state; it runs on the desk.
-func (h *ControlServer) learn(s consensus.State, how string) {
+func (h *Server) learn(s consensus.State, how string) {
 	old := h.acceptor.State
 	if !h.acceptor.Learn(s) {
 		return
@@ -237,7 +240,7 @@
 	if s.Version != old.Version {
 		clear(h.packedVersions)
 		if old.Version > 0 {
-			h.pastBodies = append(h.pastBodies, BodyRecord{old.Version, old.Body})
+			h.pastBodies = append(h.pastBodies, records.Body{Version: old.Version, Body: old.Body})
 			size := 0
 			for _, b := range h.pastBodies {
 				size += len(b.Body)
@@ -259,15 +262,15 @@
 	h.notifyWatchers()
 }
 
-func (h *ControlServer) State() (s consensus.State) {
+func (h *Server) State() (s consensus.State) {
 	h.loop.Call(func() { s = h.acceptor.State })
 	return s
 }
 
 // HasState tells whether this node has any state to settle calls with.
-func (h *ControlServer) HasState() bool { return len(h.State().Voters) > 0 }
+func (h *Server) HasState() bool { return len(h.State().Voters) > 0 }
 
-func (h *ControlServer) VoterIPs() []string {
+func (h *Server) VoterIPs() []string {
 	var out []string
 	for _, v := range h.State().Voters {
 		out = append(out, v.IP)
@@ -276,10 +279,10 @@
 }
 
 // HandleInternal takes a call of another node and tells whether it was one of a hut's.
-func (h *ControlServer) HandleInternal(c *app.RequestContext) bool {
+func (h *Server) HandleInternal(c *app.RequestContext) bool {
 	switch string(c.Request.URI().PathOriginal()) {
-	case PathConsensus:
-		var m ConsensusRequest
+	case nodeapi.PathConsensus:
+		var m nodeapi.ConsensusRequest
 		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleConsensus(m); err != nil {
 				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
@@ -287,36 +290,38 @@
 				transport.WriteJSON(c, 200, say)
 			}
 		}
-	case PathLearn:
-		var m LearnRequest
+	case nodeapi.PathLearn:
+		var m nodeapi.LearnRequest
 		if transport.ReadJSON(c, &m) {
 			h.handleLearn(c, m)
 		}
-	case PathState:
-		var m StateRequest
+	case nodeapi.PathState:
+		var m nodeapi.StateRequest
 		if transport.ReadJSON(c, &m) {
-			var say *StateDelta
+			var say *nodeapi.StateDelta
 			h.loop.Call(func() { say = h.stateDelta(min(m.Slot, h.acceptor.State.Slot)) })
 			transport.WriteJSON(c, 200, say)
 		}
-	case PathVersion:
-		var m VersionRequest
+	case nodeapi.PathVersion:
+		var m nodeapi.VersionRequest
 		if transport.ReadJSON(c, &m) {
-			var say VersionResponse
+			var say nodeapi.VersionResponse
 			var body []byte
 			h.loop.Call(func() { say, body = h.versionResponse(m) })
 			c.SetStatusCode(200)
-			c.Response.Header.Set(HeaderVersion, string(MustEncode("version", say)))
+			c.Response.Header.Set(nodeapi.HeaderVersion, string(codec.MustEncode("version", say)))
 			c.Response.Header.SetContentType("application/json")
 			c.Response.Header.SetContentEncoding("gzip")
 			c.Response.SetBodyRaw(body)
 		}
-	case PathPeek:
-		var say PeekResponse
-		h.loop.Call(func() { say = PeekResponse{h.acceptor.ID, h.acceptor.State.Slot, h.acceptor.AcceptedValue != nil} })
+	case nodeapi.PathPeek:
+		var say nodeapi.PeekResponse
+		h.loop.Call(func() {
+			say = nodeapi.PeekResponse{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Begun: h.acceptor.AcceptedValue != nil}
+		})
 		transport.WriteJSON(c, 200, say)
-	case PathHeartbeat:
-		var m Heartbeat
+	case nodeapi.PathHeartbeat:
+		var m nodeapi.Heartbeat
 		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() {
 				h.onHeartbeat(m)
@@ -326,24 +331,24 @@
 			})
 			transport.WriteJSON(c, 200, m)
 		}
-	case PathTable:
-		var m TableRequest
+	case nodeapi.PathTable:
+		var m nodeapi.TableRequest
 		if !transport.ReadJSON(c, &m) {
 			return true
 		}
-		d, err := UnpackTableDelta(m.Delta, h.host.MaxMessageBytes())
+		d, err := nodeapi.UnpackTableDelta(m.Delta, h.host.MaxMessageBytes())
 		if err != nil {
-			events.Log(events.MessageRejected, "path", PathTable, "from", c.RemoteAddr(), "err", err)
+			events.Log(events.MessageRejected, "path", nodeapi.PathTable, "from", c.RemoteAddr(), "err", err)
 			transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
 			return true
 		}
-		var say TableResponse
+		var say nodeapi.TableResponse
 		h.loop.Call(func() { say.Stamp = h.applyTableDelta(d) })
 		transport.WriteJSON(c, 200, say)
-	case PathTableFetch:
-		var m TableFetchRequest
+	case nodeapi.PathTableFetch:
+		var m nodeapi.TableFetchRequest
 		if transport.ReadJSON(c, &m) {
-			var say TableFetchResponse
+			var say nodeapi.TableFetchResponse
 			h.loop.Call(func() {
 				if h.table != nil {
 					say.Delta = h.tableDelta(m.Stamp)
@@ -351,8 +356,8 @@
 			})
 			transport.WriteJSON(c, 200, say)
 		}
-	case PathLease:
-		var m LeaseRequest
+	case nodeapi.PathLease:
+		var m nodeapi.LeaseRequest
 		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleLeaseRequest(m); err != nil {
 				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
@@ -360,13 +365,13 @@
 				transport.WriteJSON(c, 200, say)
 			}
 		}
-	case PathUnreachable:
-		var m UnreachableReport
+	case nodeapi.PathUnreachable:
+		var m nodeapi.UnreachableReport
 		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() { h.onUnreachableReport(m) })
 			transport.WriteJSON(c, 200, struct{}{})
 		}
-	case PathCacheJoin:
+	case nodeapi.PathCacheJoin:
 		var l consensus.CacheNode
 		if !transport.ReadJSON(c, &l) {
 			return true
@@ -376,37 +381,37 @@
 		} else {
 			transport.WriteJSON(c, 503, map[string]string{"Error": "not agreed"})
 		}
-	case PathRolloutReport:
-		var m RolloutReport
+	case nodeapi.PathRolloutReport:
+		var m nodeapi.RolloutReport
 		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() { h.onRolloutReport(m) })
 			transport.WriteJSON(c, 200, struct{}{})
 		}
-	case PathRolloutTotals:
-		var m RolloutTotals
+	case nodeapi.PathRolloutTotals:
+		var m nodeapi.RolloutTotals
 		if transport.ReadJSON(c, &m) {
 			h.loop.Call(func() { h.onRolloutTotals(m) })
 			transport.WriteJSON(c, 200, struct{}{})
 		}
-	case PathFrontRoster:
-		var r FrontRoster
+	case nodeapi.PathFrontRoster:
+		var r nodeapi.FrontRoster
 		h.loop.Call(func() { r = h.frontRoster() })
 		transport.WriteJSON(c, 200, r)
-	case PathSilentVoters:
+	case nodeapi.PathSilentVoters:
 		transport.WriteJSON(c, 200, h.memberReport())
-	case PathPersist:
+	case nodeapi.PathPersist:
 		if held, err := h.persistAndReport(); err != nil {
 			transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
 		} else {
 			transport.WriteJSON(c, 200, held)
 		}
-	case PathJoin:
-		var m JoinRequest
+	case nodeapi.PathJoin:
+		var m nodeapi.JoinRequest
 		if transport.ReadJSON(c, &m) {
 			transport.WriteJSON(c, 200, h.handleJoin(m))
 		}
-	case PathWatch:
-		var m WatchRequest
+	case nodeapi.PathWatch:
+		var m nodeapi.WatchRequest
 		if transport.ReadJSON(c, &m) {
 			transport.WriteJSON(c, 200, h.handleWatch(m))
 		}
@@ -417,20 +422,20 @@
 }
 
 // ID is the identity that this node's disk was given.
-func (h *ControlServer) ID() string { return h.acceptor.ID }
+func (h *Server) ID() string { return h.acceptor.ID }
 
 // Close ends the server at once; the store gets the time given to finish its writes.
-func (h *ControlServer) Close(within time.Duration) {
+func (h *Server) Close(within time.Duration) {
 	h.store.Close(within)
 	h.loop.Close()
 }
 
 // BeginChange registers an operator's change that this node works on, so that
 // Drain waits for its end. ok is false once the node takes no more of them.
-func (h *ControlServer) BeginChange() (end func(), ok bool) {
+func (h *Server) BeginChange() (end func(), ok bool) {
 	h.ordersInFlight.Add(1)
 	return func() { h.ordersInFlight.Add(-1) }, !h.closing.Load()
 }
 
 // Closing tells whether the node takes no more changes because it drains.
-func (h *ControlServer) Closing() bool { return h.closing.Load() }
+func (h *Server) Closing() bool { return h.closing.Load() }
--- a/internal/lodge/status.go
+++ b/internal/control/status.go
@@ -1,4 +1,4 @@
-package lodge
+package control
 
 import (
 	"slices"
@@ -7,8 +7,8 @@
 	"swiftswitch/internal/endpoints"
 )
 
-// ControlStatus is the hut's part of the status.
-type ControlStatus struct {
+// Status is the hut's part of the status.
+type Status struct {
 	ID      string `json:"ID"`
 	Slot    int64  `json:"Slot"`
 	Version int64  `json:"Version"`
@@ -47,8 +47,8 @@
 	Rollouts []RolloutStatus `json:"Rollouts,omitempty"`
 }
 
-func (h *ControlServer) Status() *ControlStatus {
-	st := &ControlStatus{Fronts: map[string]int64{}}
+func (h *Server) Status() *Status {
+	st := &Status{Fronts: map[string]int64{}}
 	h.loop.Call(func() {
 		s, now := h.acceptor.State, h.host.Now()
 		st.ID, st.Slot, st.Version, st.Votes = h.acceptor.ID, s.Slot, s.Version, s.IsVoter(h.acceptor.ID)
--- a/internal/lodge/table.go
+++ b/internal/control/table.go
@@ -1,7 +1,10 @@
-package lodge
+package control
 
 import (
+	"swiftswitch/internal/codec"
 	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 )
 
 // The searcher table between huts.
@@ -11,7 +14,7 @@
 
 // tableDelta is what changed in the table since the one that is held, packed once
 // for all who hold that; it runs on the desk.
-func (h *ControlServer) tableDelta(held endpoints.Stamp) []byte {
+func (h *Server) tableDelta(held endpoints.Stamp) []byte {
 	var from *endpoints.Table
 	for _, t := range h.pastTables {
 		if t.Stamp == held {
@@ -23,27 +26,27 @@
 	}
 	d, ok := h.tableDeltas[held]
 	if !ok {
-		d = Gzip(MustEncode("delta", endpoints.Diff(from, h.table)))
+		d = codec.Gzip(codec.MustEncode("delta", endpoints.Diff(from, h.table)))
 		h.tableDeltas[held] = d
 	}
 	return d
 }
 
 // sendTable tells another hut what changed in the table; it runs on the desk.
-func (h *ControlServer) sendTable(ip string, held endpoints.Stamp) {
+func (h *Server) sendTable(ip string, held endpoints.Stamp) {
 	stamp, d, whole := h.table.Stamp, h.tableDelta(held), h.tableDelta(endpoints.Stamp{})
 	go func() {
 		addr, within := h.host.Settings().InternalAddress(ip), h.host.Heartbeats(0.8)
-		var say TableResponse
-		if err := h.host.Client.CallJSON(addr, PathTable, TableRequest{d}, &say, within); err == nil && say.Stamp.Before(stamp) {
-			_ = h.host.Client.CallJSON(addr, PathTable, TableRequest{whole}, &say, within)
+		var say nodeapi.TableResponse
+		if err := h.host.Client.CallJSON(addr, nodeapi.PathTable, nodeapi.TableRequest{Delta: d}, &say, within); err == nil && say.Stamp.Before(stamp) {
+			_ = h.host.Client.CallJSON(addr, nodeapi.PathTable, nodeapi.TableRequest{Delta: whole}, &say, within)
 		}
 	}()
 }
 
 // applyTableDelta takes a change of the table from another hut and tells which table
 // there is now; it runs on the desk.
-func (h *ControlServer) applyTableDelta(d *endpoints.Delta) endpoints.Stamp {
+func (h *Server) applyTableDelta(d *endpoints.Delta) endpoints.Stamp {
 	from := h.table
 	if d.From == (endpoints.Stamp{}) {
 		from = nil
@@ -58,13 +61,13 @@
 }
 
 // setTable puts a newer table in force; it runs on the desk.
-func (h *ControlServer) setTable(t *endpoints.Table) {
+func (h *Server) setTable(t *endpoints.Table) {
 	if h.table != nil {
 		h.pastTables = append(h.pastTables, h.table)
 		h.pastTables = h.pastTables[max(0, len(h.pastTables)-maxPastTables):]
 	}
 	h.table = t
 	clear(h.tableDeltas)
-	h.writeRecord(RecordTable, t, nil)
+	h.writeRecord(records.KeyTable, t, nil)
 	h.notifyWatchers()
 }
--- a/internal/lodge/hearsay.go
+++ b/internal/control/unreachable.go
@@ -1,7 +1,8 @@
-package lodge
+package control
 
 import (
 	"slices"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/events"
@@ -26,7 +27,7 @@
 
 // onReport takes what a front tells. It returns true when there is something new
 // to tell; fresh is how long hearsay counts, and lasts how long it is told.
-func (g *unreachableTable) onReport(m UnreachableReport, need int, now, fresh, lasts time.Duration) bool {
+func (g *unreachableTable) onReport(m nodeapi.UnreachableReport, need int, now, fresh, lasts time.Duration) bool {
 	news := false
 	for _, e := range m.Dark {
 		if g.reports[e] == nil {
@@ -78,7 +79,7 @@
 
 // onUnreachableReport takes what a front tells; many words close together go out as
 // one. It runs on the desk.
-func (h *ControlServer) onUnreachableReport(m UnreachableReport) {
+func (h *Server) onUnreachableReport(m nodeapi.UnreachableReport) {
 	now := h.host.Now()
 	_, here := h.frontsAround(h.fronts[m.Name].zone)
 	if !h.unreachable.onReport(m, requiredReporters(here), now, h.host.Heartbeats(2), h.host.UnreachableTTL()) || h.reportScheduled {
--- a/internal/lodge/watch.go
+++ b/internal/control/watch.go
@@ -1,9 +1,12 @@
-package lodge
+package control
 
 import (
 	"math/rand/v2"
 	"slices"
 	"strings"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/records"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -36,17 +39,17 @@
 }
 
 type peerRoster struct {
-	FrontRoster
+	nodeapi.FrontRoster
 	fetching bool
 }
 
 // handleWatch waits for news that the asker lacks, at most for a heartbeat.
-func (h *ControlServer) handleWatch(m WatchRequest) WatchResponse {
+func (h *Server) handleWatch(m nodeapi.WatchRequest) nodeapi.WatchResponse {
 	hold := max(h.host.Heartbeats(0.2), min(h.host.LongPollTimeout(), time.Duration(m.HoldMs)*time.Millisecond))
 	until := time.NewTimer(hold)
 	defer until.Stop()
 	for late := false; ; {
-		var say WatchResponse
+		var say nodeapi.WatchResponse
 		var changed chan struct{}
 		news := false
 		h.loop.Call(func() {
@@ -80,20 +83,20 @@
 }
 
 // onWatch notes a node that watches; it runs on the desk.
-func (h *ControlServer) onWatch(m WatchRequest, until time.Duration) {
+func (h *Server) onWatch(m nodeapi.WatchRequest, until time.Duration) {
 	h.fronts[m.Name] = frontState{h.host.Now(), until + h.host.Heartbeats(1), m.Slot, m.IP, m.Zone, m.Ready, m.Out, m.First, m.Larder, m.Rolled}
 }
 
 // watchResponse tells a watcher what it lacks; it runs on the desk.
-func (h *ControlServer) watchResponse(m WatchRequest) (say WatchResponse, news bool) {
+func (h *Server) watchResponse(m nodeapi.WatchRequest) (say nodeapi.WatchResponse, news bool) {
 	now := h.host.Now()
 	s := h.acceptor.State
-	say = WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.CompactedPurgeSeq()}
+	say = nodeapi.WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.CompactedPurgeSeq()}
 	say.Around, say.Here = h.frontsAround(m.Zone)
 	say.Lone = h.lacksMajority(now)
 	if m.Roster || m.Hello || s.Slot > m.Slot {
 		for _, v := range s.Voters {
-			say.Huts = append(say.Huts, ControlNode{v.IP, h.zoneOf(v.IP)})
+			say.Huts = append(say.Huts, nodeapi.ControlNode{IP: v.IP, Zone: h.zoneOf(v.IP)})
 		}
 		say.Larders = s.CacheNodes
 	}
@@ -123,7 +126,7 @@
 	return say, news || s.Slot > m.Slot && s.Version > 0
 }
 
-func (h *ControlServer) zoneOf(ip string) string {
+func (h *Server) zoneOf(ip string) string {
 	if ip == h.host.Settings().IpAddress {
 		return h.host.Settings().Zone
 	}
@@ -131,9 +134,9 @@
 }
 
 // frontRoster lists the fronts that watch this hut first; it runs on the desk.
-func (h *ControlServer) frontRoster() FrontRoster {
+func (h *Server) frontRoster() nodeapi.FrontRoster {
 	now := h.host.Now()
-	r := FrontRoster{}
+	r := nodeapi.FrontRoster{}
 	for name, f := range h.fronts {
 		if f.primary && now < f.overdueAt {
 			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, Out: !f.ready, Keeps: f.cacheNode})
@@ -150,9 +153,9 @@
 }
 
 // fetchRoster brings the roll of another hut.
-func (h *ControlServer) fetchRoster(ip string) {
-	var r FrontRoster
-	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), PathFrontRoster, struct{}{}, &r, h.host.Heartbeats(0.8))
+func (h *Server) fetchRoster(ip string) {
+	var r nodeapi.FrontRoster
+	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathFrontRoster, struct{}{}, &r, h.host.Heartbeats(0.8))
 	h.loop.Submit(func() {
 		if err != nil {
 			r = h.peerRosters[ip].FrontRoster
@@ -165,7 +168,7 @@
 const maxRosterPerZone = 4
 
 // roster lists some fronts of every other zone that are ready; it runs on the desk.
-func (h *ControlServer) roster(now time.Duration, but string) []relay.Front {
+func (h *Server) roster(now time.Duration, but string) []relay.Front {
 	all := h.frontRoster().Fronts
 	for ip, r := range h.peerRosters {
 		if now-h.peers[ip].heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
@@ -187,7 +190,7 @@
 }
 
 // frontsMissEndpoints tells whether fronts heard lately miss searchers; it runs on the desk.
-func (h *ControlServer) frontsMissEndpoints() bool {
+func (h *Server) frontsMissEndpoints() bool {
 	now := h.host.Now()
 	for _, f := range h.fronts {
 		if f.silentEndpoints > 0 && now < f.overdueAt {
@@ -204,7 +207,7 @@
 // window of the retry budget. A hut that just started goes by what it counted
 // in its life before: after a loss of everything the fronts must not think
 // that each of them is alone. It runs on the desk.
-func (h *ControlServer) countFronts(now time.Duration) int {
+func (h *Server) countFronts(now time.Duration) int {
 	window := config.Seconds(h.host.Settings().Bounds.RetryWindowS, 1)
 	if h.frontsCountedAt > 0 && now-h.frontsCountedAt < h.host.Heartbeats(0.1) && len(h.fronts) > alwaysRecount {
 		// Many ask at once, and each would count them all.
@@ -240,13 +243,13 @@
 	}
 	if n != h.frontCount {
 		h.frontCount, h.persistedFrontCount = n, n
-		h.writeRecord(RecordFrontCount, n, nil)
+		h.writeRecord(records.KeyFrontCount, n, nil)
 	}
 	return n
 }
 
 // frontsAround counts the known fronts in a zone and in its region; it runs on the desk.
-func (h *ControlServer) frontsAround(zone string) (region, here int) {
+func (h *Server) frontsAround(zone string) (region, here int) {
 	zones := h.host.Settings().Zones
 	for _, k := range h.knownFronts {
 		if zones[k.zone] == zones[zone] {
@@ -260,7 +263,7 @@
 }
 
 // waitFrontsHold waits until every front that was heard lately holds slot, at most for the time given.
-func (h *ControlServer) waitFrontsHold(slot int64, within time.Duration) {
+func (h *Server) waitFrontsHold(slot int64, within time.Duration) {
 	end := time.Now().Add(within)
 	for time.Now().Before(end) {
 		missing := false
@@ -281,12 +284,12 @@
 
 // packedVersion is an answer that is the same for all who hold one version.
 type packedVersion struct {
-	response VersionResponse
+	response nodeapi.VersionResponse
 	body     []byte
 }
 
 // versionResponse gives the newest configuration, or the difference to the one held; it runs on the desk.
-func (h *ControlServer) versionResponse(m VersionRequest) (VersionResponse, []byte) {
+func (h *Server) versionResponse(m nodeapi.VersionRequest) (nodeapi.VersionResponse, []byte) {
 	p, ok := h.packedVersions[m.Version]
 	if !ok {
 		raw := []byte(h.acceptor.State.Body)
@@ -298,7 +301,7 @@
 				p.response.From, p.response.Gone, raw = m.Version, d.Removed, d.Changes
 			}
 		}
-		p.body = Gzip(raw)
+		p.body = codec.Gzip(raw)
 		if len(h.packedVersions) < 2*maxPastBodies {
 			h.packedVersions[m.Version] = p
 		}
--- a/internal/lodge/bring.go
+++ b/internal/front/cache.go
@@ -1,9 +1,12 @@
-package lodge
+package front
 
 import (
 	"cmp"
 	"encoding/json"
 	"slices"
+	"swiftswitch/internal/cachenode"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/cache"
@@ -29,7 +32,7 @@
 }
 
 // setCacheNodes takes the agreed list; it runs on the desk.
-func (t *FrontServer) setCacheNodes(list []consensus.CacheNode) {
+func (t *Server) setCacheNodes(list []consensus.CacheNode) {
 	old := t.cacheNodes.Load()
 	now := &cacheNodeList{list: list}
 	now.member = slices.ContainsFunc(list, func(l consensus.CacheNode) bool { return l.IP == t.host.Settings().IpAddress })
@@ -50,7 +53,7 @@
 }
 
 // CacheNodes is the agreed list of cache nodes.
-func (t *FrontServer) CacheNodes() []consensus.CacheNode {
+func (t *Server) CacheNodes() []consensus.CacheNode {
 	l := t.cacheNodes.Load()
 	if l == nil {
 		return nil
@@ -59,14 +62,14 @@
 }
 
 // ListedAsCacheNode tells whether the agreed list of cache nodes holds this one.
-func (t *FrontServer) ListedAsCacheNode() bool {
+func (t *Server) ListedAsCacheNode() bool {
 	l := t.cacheNodes.Load()
 	return l != nil && l.member
 }
 
 // Service is a service of the configuration in force, nil where there is none;
 // known is false while there is no configuration.
-func (t *FrontServer) Service(name string) (service *config.Service, known bool) {
+func (t *Server) Service(name string) (service *config.Service, known bool) {
 	snapshot := t.frontend.Current()
 	if snapshot == nil {
 		return nil, false
@@ -75,7 +78,7 @@
 }
 
 // Route finds the route of an object, if there is any yet.
-func (t *FrontServer) Route(host, target string) *routing.Route {
+func (t *Server) Route(host, target string) *routing.Route {
 	snap := t.frontend.Current()
 	if snap == nil {
 		return nil
@@ -88,13 +91,13 @@
 // heard of it and given up their part; one that no hut in touch with a
 // majority answers stops before the huts count it as gone and the others take
 // its part. Fronts fetch only where there is no larder.
-func (t *FrontServer) QuotaShare() (part float64, ok bool) {
+func (t *Server) QuotaShare() (part float64, ok bool) {
 	l := t.cacheNodes.Load()
 	if l == nil {
 		return 0, false
 	}
 	now := t.host.Now()
-	if now-time.Duration(t.majorityHeardAt.Load()) > config.Seconds(t.host.Settings().Bounds.CatchUpS, MaxSilenceBeforePause) {
+	if now-time.Duration(t.majorityHeardAt.Load()) > config.Seconds(t.host.Settings().Bounds.CatchUpS, cachenode.MaxSilenceBeforePause) {
 		return 0, false
 	}
 	if t.cacheNode {
@@ -111,7 +114,7 @@
 
 // Bring asks the larder that owns the object, or the next in line where that
 // one does not answer. Without any, the front fetches itself, sparingly.
-func (t *FrontServer) Bring(w frontend.Want) frontend.Brought {
+func (t *Server) Bring(w frontend.Want) frontend.Brought {
 	deadline := time.Now().Add(w.Left)
 	l := t.cacheNodes.Load()
 	if l == nil {
@@ -139,7 +142,7 @@
 		got, err := t.fetchFrom(to, w, left, wait)
 		t.cacheNodeHealth.Done(to.IP, err == nil, time.Now())
 		switch {
-		case err != nil || got.Status == StatusNoQuota:
+		case err != nil || got.Status == nodeapi.StatusNoQuota:
 			at++
 		case got.Status == 202 && got.Copy == nil:
 			// It is being fetched there; the wish counts once.
@@ -150,15 +153,15 @@
 	}
 }
 
-func (t *FrontServer) fetchFrom(to consensus.CacheNode, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
-	a := CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
+func (t *Server) fetchFrom(to consensus.CacheNode, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
+	a := nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
 	began := t.host.Now()
-	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", PathCacheFetch, nil, MustEncode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", nodeapi.PathCacheFetch, nil, codec.MustEncode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
 	if err != nil {
 		return frontend.Brought{}, err
 	}
-	var s CacheFetchResponse
-	if err := json.Unmarshal([]byte(rep.Header(HeaderCacheFetch)), &s); err != nil {
+	var s nodeapi.CacheFetchResponse
+	if err := json.Unmarshal([]byte(rep.Header(nodeapi.HeaderCacheFetch)), &s); err != nil {
 		return frontend.Brought{}, err
 	}
 	return fetchResult(w, s, rep.Body, began), nil
@@ -166,7 +169,7 @@
 
 // fetchResult reads a larder's answer; began is when it was asked for, from which
 // the copy's age is counted on.
-func fetchResult(w frontend.Want, s CacheFetchResponse, body []byte, began time.Duration) frontend.Brought {
+func fetchResult(w frontend.Want, s nodeapi.CacheFetchResponse, body []byte, began time.Duration) frontend.Brought {
 	switch {
 	case s.Passed:
 		return frontend.Brought{Passed: &cache.Passed{Status: s.Status, Fields: s.Fields, Body: body, Stamp: s.Stamp}}
@@ -180,18 +183,18 @@
 }
 
 // fetchSelf fetches where there is no larder.
-func (t *FrontServer) fetchSelf(w frontend.Want) frontend.Brought {
+func (t *Server) fetchSelf(w frontend.Want) frontend.Brought {
 	r := t.Route(w.Host, w.Target)
 	if r == nil {
 		return frontend.Brought{Status: 503}
 	}
 	began := t.host.Now()
 	left := w.Left.Milliseconds()
-	s, body := t.fetcher.Get(CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, LeftMs: left, WaitMs: left, AimMs: w.Aim.Milliseconds(), Again: w.Again}, r.Lifetime, r.Sends)
+	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, LeftMs: left, WaitMs: left, AimMs: w.Aim.Milliseconds(), Again: w.Again}, r.Lifetime, r.Sends)
 	switch s.Status {
 	case 202:
 		s.Status = 504
-	case StatusNoQuota:
+	case nodeapi.StatusNoQuota:
 		s.Status, s.BackMs = 503, min(t.host.Heartbeats(0.5).Milliseconds(), left/4)
 	}
 	return fetchResult(w, s, body, began)
--- a/internal/lodge/front_internal.go
+++ b/internal/front/internal_api.go
@@ -1,6 +1,7 @@
-package lodge
+package front
 
 import (
+	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/relay"
 	"swiftswitch/internal/transport"
 
@@ -9,11 +10,11 @@
 
 // HandleInternal takes a call of another node and tells whether it was one for
 // a front or a cache node.
-func (t *FrontServer) HandleInternal(c *app.RequestContext) bool {
+func (t *Server) HandleInternal(c *app.RequestContext) bool {
 	switch string(c.Request.URI().PathOriginal()) {
-	case PathRelay:
+	case nodeapi.PathRelay:
 		t.handleRelay(c)
-	case PathCacheFetch:
+	case nodeapi.PathCacheFetch:
 		if !t.cacheNode {
 			return false
 		}
@@ -25,7 +26,7 @@
 }
 
 // handleRelay gathers shards for a front in another zone.
-func (t *FrontServer) handleRelay(c *app.RequestContext) {
+func (t *Server) handleRelay(c *app.RequestContext) {
 	var request relay.Ask
 	if !transport.ReadJSON(c, &request) {
 		return
--- a/internal/lodge/canary.go
+++ b/internal/front/rollout.go
@@ -1,4 +1,4 @@
-package lodge
+package front
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"math"
 	"math/rand/v2"
 	"os"
+	"swiftswitch/internal/nodeapi"
 	"sync/atomic"
 	"time"
 
@@ -51,13 +52,13 @@
 }
 
 // clock tells steady time and how long no hut in touch with a majority has answered.
-func (t *FrontServer) clock() (now, heard time.Duration) {
+func (t *Server) clock() (now, heard time.Duration) {
 	now = t.host.Now()
 	return now, now - time.Duration(t.majorityHeardAt.Load())
 }
 
 // onRollouts takes what a hut tells of the orders; it runs on the desk.
-func (t *FrontServer) onRollouts(say WatchResponse) {
+func (t *Server) onRollouts(say nodeapi.WatchResponse) {
 	if say.RolledTo <= t.progress.Load().rolloutSlot {
 		return
 	}
@@ -83,7 +84,7 @@
 }
 
 // applyTrafficSplits works out where requests may go; it runs on the desk.
-func (t *FrontServer) applyTrafficSplits() {
+func (t *Server) applyTrafficSplits() {
 	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]observedRollout{}
 	if t.table != nil {
 		for service, first := range t.table.InitialVersions {
@@ -120,7 +121,7 @@
 // maxTrackedEndpoints is how many searchers of a new version are told apart one by one.
 const maxTrackedEndpoints = 8
 
-func (t *FrontServer) countEndpoints(service, version string) (n int) {
+func (t *Server) countEndpoints(service, version string) (n int) {
 	if t.table == nil {
 		return 0
 	}
@@ -133,7 +134,7 @@
 }
 
 // PickEndpoint picks a searcher for a request of this node's own, as its lane allows.
-func (t *FrontServer) PickEndpoint(service string, aim time.Duration) (*upstream.Peer, time.Time) {
+func (t *Server) PickEndpoint(service string, aim time.Duration) (*upstream.Peer, time.Time) {
 	var l *rollout.Lane
 	if s := t.frontend.Current(); s != nil {
 		l = s.Lanes[service]
@@ -152,7 +153,7 @@
 }
 
 // recordAttempt counts a try at a service with a rollout under way.
-func (t *FrontServer) recordAttempt(p *upstream.Peer, r *upstream.Request, o *upstream.Outcome) {
+func (t *Server) recordAttempt(p *upstream.Peer, r *upstream.Request, o *upstream.Outcome) {
 	ws := t.rollouts.observed.Load()
 	if ws == nil {
 		return
@@ -191,7 +192,7 @@
 }
 
 // reportLoop tells the hut watched first what was seen, and judges it here as well.
-func (t *FrontServer) reportLoop() {
+func (t *Server) reportLoop() {
 	for {
 		select {
 		case <-t.host.Stopping:
@@ -205,7 +206,7 @@
 		if len(entries) == 0 {
 			continue
 		}
-		to, m := "", RolloutReport{Name: t.host.Settings().NodeName, Life: t.rollouts.incarnation, Entries: entries}
+		to, m := "", nodeapi.RolloutReport{Name: t.host.Settings().NodeName, Life: t.rollouts.incarnation, Entries: entries}
 		t.loop.Call(func() {
 			t.evaluate(entries)
 			t.rollouts.sequence++
@@ -214,7 +215,7 @@
 				to = t.watchTargets[0]
 			}
 		})
-		if to == "" || t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), PathRolloutReport, m, nil, t.host.Heartbeats(0.5)) != nil {
+		if to == "" || t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathRolloutReport, m, nil, t.host.Heartbeats(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
 				t.rollouts.recorder.Note(e.Cell, e.Sum)
@@ -224,7 +225,7 @@
 }
 
 // evaluate runs the charts over what this node saw itself; it runs on the desk.
-func (t *FrontServer) evaluate(entries []rollout.Entry) {
+func (t *Server) evaluate(entries []rollout.Entry) {
 	now := t.host.Now()
 	byOrder := map[int64][]rollout.Entry{}
 	for _, e := range entries {
--- a/internal/lodge/trail.go
+++ b/internal/front/server.go
@@ -1,4 +1,4 @@
-package lodge
+package front
 
 import (
 	"cmp"
@@ -7,6 +7,9 @@
 	"math/rand/v2"
 	"net"
 	"slices"
+	"swiftswitch/internal/cachenode"
+	"swiftswitch/internal/codec"
+	"swiftswitch/internal/nodeapi"
 	"sync/atomic"
 	"time"
 
@@ -29,8 +32,8 @@
 	"github.com/panjf2000/ants/v2"
 )
 
-// FrontServer is the part of a node that serves clients. Its tables belong to one desk.
-type FrontServer struct {
+// Server is the part of a node that serves clients. Its tables belong to one desk.
+type Server struct {
 	host    *host.Host
 	options host.Options
 	loop    *commandloop.Loop
@@ -44,7 +47,7 @@
 	// cacheNode: the node serves no clients, it keeps copies.
 	cacheNode       bool
 	cacheHandler    *frontend.Pantry
-	fetcher         *Fetcher
+	fetcher         *cachenode.Fetcher
 	cacheNodes      atomic.Pointer[cacheNodeList]
 	cacheNodeHealth *relay.Choice
 	// majorityHeardAt is when a hut last answered; fronts is how many fronts there are.
@@ -55,7 +58,7 @@
 	layouts      *shardmap.Board
 	routeTables  map[int64]*routing.Map
 	table        *endpoints.Table
-	controlNodes []ControlNode
+	controlNodes []nodeapi.ControlNode
 	watching     map[string]bool
 	// watchTargets are the huts that this node watches, the first before the
 	// others; bad are those that did not answer, until when.
@@ -91,14 +94,14 @@
 	stamp                             endpoints.Stamp
 }
 
-func NewFrontServer(n *host.Host, opt host.Options) (*FrontServer, error) {
+func New(n *host.Host, opt host.Options) (*Server, error) {
 	s := n.Settings()
 	b := s.Bounds
 	pool, err := ants.NewPool(int(max(256, s.Limits.FileDescriptors/2)), ants.WithNonblocking(true), ants.WithExpiryDuration(n.Heartbeats(8)))
 	if err != nil {
 		return nil, err
 	}
-	t := &FrontServer{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
+	t := &Server{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
 	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), Idle: config.Milliseconds(b.InTouchMs, 3)}
 	t.endpoints = upstream.New(upstream.Options{
 		Distance: n.Distance, UserTimeout: n.TCPUserTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.MaxMessageBytes(),
@@ -113,7 +116,7 @@
 	if opt.Saddle {
 		t.relays = relay.NewChoice(n.Heartbeats(1))
 		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
-			err := n.Client.CallJSON(n.Settings().InternalAddress(ip), PathRelay, ask, say, within)
+			err := n.Client.CallJSON(n.Settings().InternalAddress(ip), nodeapi.PathRelay, ask, say, within)
 			if err != nil {
 				// Others may do better.
 				t.rosterAskedAt.Store(0)
@@ -130,9 +133,9 @@
 	t.cacheHandler = frontend.NewPantry(int(memory*opt.Shelf), n.Now, t)
 	t.frontend.SetPantry(t.cacheHandler)
 	if t.cacheNode {
-		t.fetcher = NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.LarderShelf))
+		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.LarderShelf))
 	} else {
-		t.fetcher = NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.Shelf/4))
+		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.Shelf/4))
 	}
 	t.layouts = shardmap.New(shardmap.Options{
 		R: opt.Slots, Least: 2, Lease: n.Heartbeats(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
@@ -155,10 +158,10 @@
 	return t, nil
 }
 
-func (t *FrontServer) Start() {
+func (t *Server) Start() {
 	t.loop.Call(func() {
 		for _, ip := range t.host.Settings().SeedIPs() {
-			t.controlNodes = append(t.controlNodes, ControlNode{IP: ip})
+			t.controlNodes = append(t.controlNodes, nodeapi.ControlNode{IP: ip})
 		}
 		t.pickWatchTargets()
 	})
@@ -176,7 +179,7 @@
 	go t.reportLoop()
 }
 
-func (t *FrontServer) ControlIPs() (out []string) {
+func (t *Server) ControlIPs() (out []string) {
 	t.loop.Call(func() {
 		for _, h := range t.controlNodes {
 			out = append(out, h.IP)
@@ -188,17 +191,17 @@
 // pickWatchTargets chooses the huts to watch: one more than may be lost at once, the
 // nearest first, those that did not answer lately last. However many fronts
 // and huts there are, a front holds that many calls. It runs on the desk.
-func (t *FrontServer) pickWatchTargets() {
+func (t *Server) pickWatchTargets() {
 	n, now := t.host, t.host.Now()
 	order := slices.Clone(t.controlNodes)
-	rank := func(h ControlNode) (int, int, uint64) {
+	rank := func(h nodeapi.ControlNode) (int, int, uint64) {
 		bad := 0
 		if now < t.unresponsiveUntil[h.IP] {
 			bad = 1
 		}
 		return bad, n.Distance(h.Zone), upstream.Draw(n.Settings().NodeName + " " + h.IP)
 	}
-	slices.SortFunc(order, func(a, b ControlNode) int {
+	slices.SortFunc(order, func(a, b nodeapi.ControlNode) int {
 		ab, ad, ah := rank(a)
 		bb, bd, bh := rank(b)
 		return cmp.Or(cmp.Compare(ab, bb), cmp.Compare(ad, bd), cmp.Compare(ah, bh))
@@ -219,7 +222,7 @@
 }
 
 // watch keeps asking one hut for news, as long as it is one of those picked.
-func (t *FrontServer) watch(ip string) {
+func (t *Server) watch(ip string) {
 	n := t.host
 	brief := true
 	fails := 0
@@ -242,13 +245,13 @@
 			return
 		}
 		h := t.progress.Load()
-		ask := WatchRequest{
+		ask := nodeapi.WatchRequest{
 			Name: n.Settings().NodeName, IP: n.Settings().IpAddress, Slot: h.slot, Purge: h.purge, Rolled: h.rolloutSlot, Stamp: h.stamp, Brief: brief && !first,
 			Zone: n.Settings().Zone, Ready: t.ready.Load() && !n.Draining.Load(), Out: t.endpoints.Out(), HoldMs: hold.Milliseconds(),
 			First: first, Larder: t.cacheNode, Roster: first && t.rosterDue(), Hello: !t.locatedControl.Load(), Heard: t.unreachableRevision.Load(),
 		}
-		var say WatchResponse
-		err := n.Client.CallJSON(n.Settings().InternalAddress(ip), PathWatch, ask, &say, hold+n.Heartbeats(0.8))
+		var say nodeapi.WatchResponse
+		err := n.Client.CallJSON(n.Settings().InternalAddress(ip), nodeapi.PathWatch, ask, &say, hold+n.Heartbeats(0.8))
 		if err != nil {
 			fails++
 			hold = n.Heartbeats(1)
@@ -269,8 +272,8 @@
 		fails = 0
 		var d *endpoints.Delta
 		if say.Delta != nil {
-			if d, err = UnpackTableDelta(say.Delta, n.MaxMessageBytes()); err != nil {
-				events.Log(events.MessageRejected, "from", ip, "path", PathWatch, "err", err)
+			if d, err = nodeapi.UnpackTableDelta(say.Delta, n.MaxMessageBytes()); err != nil {
+				events.Log(events.MessageRejected, "from", ip, "path", nodeapi.PathWatch, "err", err)
 				d = nil
 			}
 		}
@@ -302,20 +305,20 @@
 }
 
 // rosterDue tells whether it is time to ask for other fronts.
-func (t *FrontServer) rosterDue() bool {
+func (t *Server) rosterDue() bool {
 	last := time.Duration(t.rosterAskedAt.Load())
 	return last == 0 || t.host.Now()-last > t.host.Heartbeats(5)
 }
 
 // discoverControlNodes looks for huts in the view when those known don't answer.
-func (t *FrontServer) discoverControlNodes() {
+func (t *Server) discoverControlNodes() {
 	var found []string
 	t.host.ViewLoop.Call(func() { found = t.host.View.ControlIPs() })
 	found = append(found, t.host.Settings().SeedIPs()...)
 	t.loop.Call(func() {
 		for _, ip := range found {
-			if len(t.controlNodes) < 12 && !slices.ContainsFunc(t.controlNodes, func(h ControlNode) bool { return h.IP == ip }) {
-				t.controlNodes = append(t.controlNodes, ControlNode{IP: ip})
+			if len(t.controlNodes) < 12 && !slices.ContainsFunc(t.controlNodes, func(h nodeapi.ControlNode) bool { return h.IP == ip }) {
+				t.controlNodes = append(t.controlNodes, nodeapi.ControlNode{IP: ip})
 			}
 		}
 		t.pickWatchTargets()
@@ -323,7 +326,7 @@
 }
 
 // onWatchResponse takes what a hut said; it runs on the desk.
-func (t *FrontServer) onWatchResponse(ip string, ask WatchRequest, say WatchResponse, d *endpoints.Delta) {
+func (t *Server) onWatchResponse(ip string, ask nodeapi.WatchRequest, say nodeapi.WatchResponse, d *endpoints.Delta) {
 	if len(say.Huts) > 0 && say.Slot >= t.progress.Load().slot {
 		t.controlNodes = say.Huts
 		t.locatedControl.Store(true)
@@ -388,7 +391,7 @@
 }
 
 // setTable takes a newer table; it runs on the desk.
-func (t *FrontServer) setTable(table *endpoints.Table) {
+func (t *Server) setTable(table *endpoints.Table) {
 	t.table = table
 	t.updateProgress(func(h *progress) { h.stamp = table.Stamp })
 	t.endpoints.SetTable(table)
@@ -399,30 +402,30 @@
 }
 
 // updateProgress changes what this node tells that it holds; it runs on the desk.
-func (t *FrontServer) updateProgress(change func(h *progress)) {
+func (t *Server) updateProgress(change func(h *progress)) {
 	h := *t.progress.Load()
 	change(&h)
 	t.progress.Store(&h)
 }
 
 // fetchConfiguration brings the newest configuration from a hut.
-func (t *FrontServer) fetchConfiguration(ip string) {
+func (t *Server) fetchConfiguration(ip string) {
 	if !t.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	defer t.fetching.Store(false)
 	start := time.Now()
 	have := t.configuration.Load()
-	ask := VersionRequest{}
+	ask := nodeapi.VersionRequest{}
 	if have != nil {
 		ask.Version = have.Version
 	}
-	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(ip), "POST", PathVersion, nil, MustEncode("version", ask), config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.3))
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(ip), "POST", nodeapi.PathVersion, nil, codec.MustEncode("version", ask), config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.3))
 	if err != nil || rep.Status != 200 {
 		return
 	}
-	var say VersionResponse
-	if json.Unmarshal([]byte(rep.Header(HeaderVersion)), &say) != nil || say.Version <= t.progress.Load().version {
+	var say nodeapi.VersionResponse
+	if json.Unmarshal([]byte(rep.Header(nodeapi.HeaderVersion)), &say) != nil || say.Version <= t.progress.Load().version {
 		return
 	}
 	// Large ones take a while to read: not on the desk.
@@ -442,8 +445,8 @@
 }
 
 // unpackConfiguration reads a packed configuration.
-func (t *FrontServer) unpackConfiguration(body []byte) (*config.Configuration, error) {
-	raw, err := Gunzip(body, t.host.MaxMessageBytes())
+func (t *Server) unpackConfiguration(body []byte) (*config.Configuration, error) {
+	raw, err := codec.Gunzip(body, t.host.MaxMessageBytes())
 	if err != nil {
 		return nil, err
 	}
@@ -452,7 +455,7 @@
 
 // applyConfiguration puts decided state in its place; it runs on the desk. A node never
 // goes back to an older version.
-func (t *FrontServer) applyConfiguration(say VersionResponse, c *config.Configuration, on time.Duration) {
+func (t *Server) applyConfiguration(say nodeapi.VersionResponse, c *config.Configuration, on time.Duration) {
 	v := say.Version
 	if v <= t.layouts.LastBuilt {
 		return
@@ -470,7 +473,7 @@
 }
 
 // advanceLayouts moves the rollout on; it runs on the desk.
-func (t *FrontServer) advanceLayouts() {
+func (t *Server) advanceLayouts() {
 	old := t.layouts.Current.Version
 	switched, ready := t.layouts.Tick(t.host.Now())
 	freed := t.layouts.TakeFreed()
@@ -486,7 +489,7 @@
 }
 
 // publish pins what is in force into a snapshot for the requests to come; it runs on the desk.
-func (t *FrontServer) publish() {
+func (t *Server) publish() {
 	m := t.routeTables[t.layouts.Current.Version]
 	if m == nil {
 		return
@@ -514,7 +517,7 @@
 
 // serveClients starts the clients' listener. Until the node has a configuration and
 // a table, requests wait at its head.
-func (t *FrontServer) serveClients() {
+func (t *Server) serveClients() {
 	lis := t.host.ServerOptions(t.defaultLimits.Idle)
 	lis.MaxHeaderBytes = t.host.MaxMessageBytes() / 16
 	lis.Tracker = &t.gate
@@ -534,7 +537,7 @@
 	}()
 }
 
-func (t *FrontServer) serveReadiness() {
+func (t *Server) serveReadiness() {
 	ln, ok := transport.Listen(t.host.Settings().ListenAddresses.ReadinessAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
 	if !ok {
 		return
@@ -549,7 +552,7 @@
 }
 
 // tickLoop ticks often while a cut waits, seldom otherwise.
-func (t *FrontServer) tickLoop() {
+func (t *Server) tickLoop() {
 	for {
 		wait := t.host.Heartbeats(0.4)
 		t.loop.Call(func() {
@@ -568,7 +571,7 @@
 }
 
 // Drain lets the platform send its clients elsewhere, then ends what is under way.
-func (t *FrontServer) Drain(start time.Time, grace time.Duration) {
+func (t *Server) Drain(start time.Time, grace time.Duration) {
 	events.Log(events.FrontNotReady, "why", "leaving")
 	t.frontend.Leave()
 	time.Sleep(time.Until(start.Add(grace / 2)))
@@ -587,8 +590,8 @@
 	}
 }
 
-// FrontStatus is the trail's part of the status.
-type FrontStatus struct {
+// Status is the trail's part of the status.
+type Status struct {
 	Ready     bool            `json:"Ready"`
 	Slot      int64           `json:"Slot"`
 	LastBuilt int64           `json:"LastBuilt"`
@@ -612,8 +615,8 @@
 	Part      float64 `json:"Part"`
 }
 
-func (t *FrontServer) Status() *FrontStatus {
-	st := &FrontStatus{Ready: t.ready.Load(), Busy: t.frontend.Busy(), Helped: t.frontend.Lent(), Slots: map[string][]string{}}
+func (t *Server) Status() *Status {
+	st := &Status{Ready: t.ready.Load(), Busy: t.frontend.Busy(), Helped: t.frontend.Lent(), Slots: map[string][]string{}}
 	st.Connections = t.endpoints.Count()
 	st.Copies, st.CopyBytes = t.cacheHandler.Held()
 	if t.cacheNode {
@@ -637,23 +640,23 @@
 }
 
 // Close ends the clients' listener at once.
-func (t *FrontServer) Close() {
+func (t *Server) Close() {
 	if ln := t.listener.Load(); ln != nil {
 		_ = (*ln).Close()
 	}
 }
 
 // Snapshot is what requests are routed by now, nil while the front is not ready.
-func (t *FrontServer) Snapshot() *frontend.Snapshot { return t.frontend.Current() }
+func (t *Server) Snapshot() *frontend.Snapshot { return t.frontend.Current() }
 
 // Ready tells whether the front has a configuration and a table of endpoints.
-func (t *FrontServer) Ready() bool { return t.ready.Load() }
+func (t *Server) Ready() bool { return t.ready.Load() }
 
 // Listening tells whether clients can connect.
-func (t *FrontServer) Listening() bool { return t.listener.Load() != nil }
+func (t *Server) Listening() bool { return t.listener.Load() != nil }
 
 // Progress is the newest version and endpoint table that the front holds.
-func (t *FrontServer) Progress() (version int64, table endpoints.Stamp) {
+func (t *Server) Progress() (version int64, table endpoints.Stamp) {
 	held := t.progress.Load()
 	return held.version, held.stamp
 }
--- a/internal/lodge/front_unreachable.go
+++ b/internal/front/unreachable.go
@@ -1,9 +1,12 @@
-package lodge
+package front
 
-import "time"
+import (
+	"swiftswitch/internal/nodeapi"
+	"time"
+)
 
 // reportUnreachableLoop tells the hut watched first of searchers that did not answer.
-func (t *FrontServer) reportUnreachableLoop() {
+func (t *Server) reportUnreachableLoop() {
 	for {
 		select {
 		case <-t.host.Stopping:
@@ -22,7 +25,7 @@
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), PathUnreachable, UnreachableReport{t.host.Settings().NodeName, dark}, nil, t.host.Heartbeats(0.5))
+		_ = t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathUnreachable, nodeapi.UnreachableReport{Name: t.host.Settings().NodeName, Dark: dark}, nil, t.host.Heartbeats(0.5))
 		time.Sleep(t.host.Heartbeats(0.2))
 	}
 }
--- a/internal/lodge/patience.go
+++ b/internal/node/forward.go
@@ -1,8 +1,9 @@
-package lodge
+package node
 
 import (
 	"slices"
 	"strconv"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -63,7 +64,7 @@
 		// A change that comes late is known by its base: sent again, it is found settled.
 		own *= changeTimeoutFactor
 	}
-	return time.Now().Add(timeLeft(own, string(c.Request.Header.Peek(HeaderTimeLeft))))
+	return time.Now().Add(timeLeft(own, string(c.Request.Header.Peek(nodeapi.HeaderTimeLeft))))
 }
 
 // pauseDetector notices that the node stood still (it was frozen, or got no processor
@@ -158,7 +159,7 @@
 // best known first, to another one too while there is no answer. All that
 // happens within the caller's patience.
 func (n *Node) forward(c *app.RequestContext, path string, until time.Time) {
-	if len(c.Request.Header.Peek(HeaderForwardedBy)) > 0 {
+	if len(c.Request.Header.Peek(nodeapi.HeaderForwardedBy)) > 0 {
 		n.WriteUnavailable(c, "this node has no state yet")
 		return
 	}
@@ -183,7 +184,7 @@
 		ips = ips[1:]
 		last = ip
 		waits++
-		hd := map[string]string{HeaderForwardedBy: n.Settings().NodeName, HeaderTimeLeft: strconv.FormatInt(left.Milliseconds(), 10)}
+		hd := map[string]string{nodeapi.HeaderForwardedBy: n.Settings().NodeName, nodeapi.HeaderTimeLeft: strconv.FormatInt(left.Milliseconds(), 10)}
 		if match != "" {
 			hd["If-Match"] = match
 		}
--- a/internal/lodge/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-package lodge
+package node
 
 import (
 	"context"
@@ -7,6 +7,9 @@
 	"net"
 	"os"
 	"slices"
+	"swiftswitch/internal/control"
+	"swiftswitch/internal/front"
+	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -31,8 +34,8 @@
 
 	// control is nil on a node without a disk, front on one that neither
 	// serves clients nor caches.
-	control *ControlServer
-	front   *FrontServer
+	control *control.Server
+	front   *front.Server
 }
 
 // Run is the life of a node; it returns the process's exit code.
@@ -66,13 +69,13 @@
 	caches := options.Role == host.RoleCache
 	var err error
 	if s.HasDisk() && !caches {
-		if n.control, err = NewControlServer(n.Host); err != nil {
+		if n.control, err = control.New(n.Host); err != nil {
 			return nil, err
 		}
 		n.AddControlSource(n.control.VoterIPs)
 	}
 	if slices.Contains(s.Serves, "front") || caches {
-		if n.front, err = NewFrontServer(n.Host, options); err != nil {
+		if n.front, err = front.New(n.Host, options); err != nil {
 			return nil, err
 		}
 		n.AddControlSource(n.front.ControlIPs)
@@ -81,10 +84,10 @@
 }
 
 // Control is the node's control server, nil where it has none.
-func (n *Node) Control() *ControlServer { return n.control }
+func (n *Node) Control() *control.Server { return n.control }
 
 // Front is the node's front server, nil where it has none.
-func (n *Node) Front() *FrontServer { return n.front }
+func (n *Node) Front() *front.Server { return n.front }
 
 // Close ends the node at once, without draining, as a kill of its process would.
 func (n *Node) Close() {
@@ -142,14 +145,14 @@
 // HandleInternal takes the calls of other nodes, and control calls as well.
 func (n *Node) HandleInternal(ctx context.Context, c *app.RequestContext) {
 	switch string(c.Request.URI().PathOriginal()) {
-	case PathShuffle:
+	case nodeapi.PathShuffle:
 		n.handleShuffle(c)
-	case PathStatus:
+	case nodeapi.PathStatus:
 		transport.WriteJSON(c, 200, n.Status())
-	case PathConfiguration, PathPurge:
+	case nodeapi.PathConfiguration, nodeapi.PathPurge:
 		n.handleOperator(ctx, c)
 	default:
-		if IsRolloutPath(string(c.Request.URI().PathOriginal())) {
+		if nodeapi.IsRolloutPath(string(c.Request.URI().PathOriginal())) {
 			n.handleOperator(ctx, c)
 			return
 		}
@@ -163,7 +166,7 @@
 // handleOperator takes the operator's calls and passes on what this node can't settle.
 func (n *Node) handleOperator(_ context.Context, c *app.RequestContext) {
 	path, m := string(c.Request.URI().PathOriginal()), string(c.Request.Header.Method())
-	rollout := IsRolloutPath(path)
+	rollout := nodeapi.IsRolloutPath(path)
 	if n.control != nil && m != "GET" {
 		end, ok := n.control.BeginChange()
 		defer end()
@@ -175,14 +178,14 @@
 	}
 	until := n.callerDeadline(c)
 	switch {
-	case path != PathConfiguration && path != PathPurge && !rollout:
+	case path != nodeapi.PathConfiguration && path != nodeapi.PathPurge && !rollout:
 		transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
-	case path == PathConfiguration && m != "GET" && m != "PUT" && m != "PATCH":
+	case path == nodeapi.PathConfiguration && m != "GET" && m != "PUT" && m != "PATCH":
 		transport.WriteJSON(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
-	case path == PathPurge && m != "POST":
+	case path == nodeapi.PathPurge && m != "POST":
 		transport.WriteJSON(c, 405, map[string]string{"Error": "POST only"})
-	case rollout && m != "GET" && !(m == "POST" && path == PathRollouts):
-		transport.WriteJSON(c, 405, map[string]string{"Error": "POST " + PathRollouts + " and GET only"})
+	case rollout && m != "GET" && !(m == "POST" && path == nodeapi.PathRollouts):
+		transport.WriteJSON(c, 405, map[string]string{"Error": "POST " + nodeapi.PathRollouts + " and GET only"})
 	case m == "POST" && n.recentlyPaused():
 		// A change of the configuration is known as late by its base, an order isn't.
 		n.WriteUnavailable(c, "this node stood still, and the order may be an old one")
@@ -190,7 +193,7 @@
 		n.forward(c, path, until)
 	case rollout:
 		n.control.HandleRollout(c, path, until)
-	case path == PathPurge:
+	case path == nodeapi.PathPurge:
 		n.control.HandlePurge(c, until)
 	default:
 		n.control.HandleConfiguration(c, until)
@@ -198,13 +201,13 @@
 }
 
 func (n *Node) handleShuffle(c *app.RequestContext) {
-	var m ShuffleMessage
+	var m nodeapi.ShuffleMessage
 	if !transport.ReadJSON(c, &m) {
 		return
 	}
 	var give []peersampling.Node
 	n.ViewLoop.Call(func() { give = n.View.HandleShuffle(m.Nodes) })
-	transport.WriteJSON(c, 200, ShuffleMessage{give})
+	transport.WriteJSON(c, 200, nodeapi.ShuffleMessage{Nodes: give})
 }
 
 // shuffleLoop exchanges parts of the view with neighbours.
@@ -229,8 +232,8 @@
 		if !ok {
 			continue
 		}
-		var got ShuffleMessage
-		if err := n.Client.CallJSON(n.Settings().InternalAddress(partner.IP), PathShuffle, ShuffleMessage{offer}, &got, n.Heartbeats(0.8)); err == nil {
+		var got nodeapi.ShuffleMessage
+		if err := n.Client.CallJSON(n.Settings().InternalAddress(partner.IP), nodeapi.PathShuffle, nodeapi.ShuffleMessage{Nodes: offer}, &got, n.Heartbeats(0.8)); err == nil {
 			n.ViewLoop.Call(func() { n.View.FinishShuffle(partner, got.Nodes) })
 		}
 	}
@@ -243,8 +246,8 @@
 	UpMs    int64               `json:"UpMs"`
 	Leaving bool                `json:"Leaving"`
 	View    []peersampling.Node `json:"View"`
-	Hut     *ControlStatus      `json:"Hut,omitempty"`
-	Trail   *FrontStatus        `json:"Trail,omitempty"`
+	Hut     *control.Status     `json:"Hut,omitempty"`
+	Trail   *front.Status       `json:"Trail,omitempty"`
 }
 
 // Status tells how the node is doing.
@@ -263,7 +266,7 @@
 // FetchStatus asks a node for its status; `swiftswitch status` uses it.
 func FetchStatus(addr string, within time.Duration) ([]byte, error) {
 	cl := transport.NewClient(1, within, within, 8<<20)
-	rep, err := cl.Do(addr, "GET", PathStatus, nil, nil, within)
+	rep, err := cl.Do(addr, "GET", nodeapi.PathStatus, nil, nil, within)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lodge/api_cache.go
+++ b/internal/nodeapi/cache.go
@@ -1,4 +1,4 @@
-package lodge
+package nodeapi
 
 import "swiftswitch/internal/cache"
 
--- a/internal/lodge/api_consensus.go
+++ b/internal/nodeapi/consensus.go
@@ -1,7 +1,8 @@
-package lodge
+package nodeapi
 
 import (
 	"errors"
+	"swiftswitch/internal/codec"
 	"swiftswitch/internal/consensus"
 )
 
@@ -38,7 +39,7 @@
 		}
 	}
 	var err error
-	whole.Body, err = DecompressDelta(base, n.Packed, most)
+	whole.Body, err = codec.DecompressDelta(base, n.Packed, most)
 	return whole, err
 }
 
--- a/internal/lodge/api_forward.go
+++ b/internal/nodeapi/forward.go
@@ -1,4 +1,4 @@
-package lodge
+package nodeapi
 
 // Headers of an operator's call that one node forwards to another.
 const (
--- a/internal/lodge/api_table.go
+++ b/internal/nodeapi/table.go
@@ -1,13 +1,14 @@
-package lodge
+package nodeapi
 
 import (
 	"encoding/json"
+	"swiftswitch/internal/codec"
 	"swiftswitch/internal/endpoints"
 )
 
 // UnpackTableDelta reads a change of the table.
 func UnpackTableDelta(packed []byte, most int) (*endpoints.Delta, error) {
-	raw, err := Gunzip(packed, most)
+	raw, err := codec.Gunzip(packed, most)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lodge/standin_test.go
+++ b/internal/testcluster/cluster.go
@@ -1,4 +1,4 @@
-package lodge
+package testcluster
 
 import (
 	"context"
@@ -13,6 +13,8 @@
 	"sort"
 	"strconv"
 	"strings"
+	"swiftswitch/internal/control"
+	"swiftswitch/internal/node"
 	"sync"
 	"testing"
 	"time"
@@ -40,6 +42,13 @@
 
 func (s *Searcher) SetMode(mode string) { s.Mu.Lock(); s.mode = mode; s.Mu.Unlock() }
 
+// ServeObjects makes the searcher an origin whose objects have this version.
+func (s *Searcher) ServeObjects(version int) {
+	s.Mu.Lock()
+	s.ObjectVersion = version
+	s.Mu.Unlock()
+}
+
 func (s *Searcher) Ran() int { s.Mu.Lock(); defer s.Mu.Unlock(); return len(s.Runs) }
 
 // Records are the same for all searchers of a service.
@@ -119,7 +128,7 @@
 	Searchers map[string]*Searcher
 	state     map[string]string
 	platform  *httptest.Server
-	Nodes     map[string]*Node
+	Nodes     map[string]*node.Node
 	DataDirs  map[string]string
 	// ToleratedLosses is how many machines may be lost at once.
 	ToleratedLosses int
@@ -131,7 +140,7 @@
 
 func New(t *testing.T) *Cluster {
 	clusterNumber++
-	w := &Cluster{T: t, Searchers: map[string]*Searcher{}, state: map[string]string{}, Nodes: map[string]*Node{}, DataDirs: map[string]string{}, subnet: fmt.Sprintf("127.%d.%d.", 7+os.Getpid()%240, clusterNumber)}
+	w := &Cluster{T: t, Searchers: map[string]*Searcher{}, state: map[string]string{}, Nodes: map[string]*node.Node{}, DataDirs: map[string]string{}, subnet: fmt.Sprintf("127.%d.%d.", 7+os.Getpid()%240, clusterNumber)}
 	l, err := net.Listen("tcp4", w.subnet+"200:0")
 	if err != nil {
 		t.Fatal(err)
@@ -241,7 +250,7 @@
 	return s
 }
 
-func (w *Cluster) Run(n int, first bool, seeds ...int) *Node {
+func (w *Cluster) Run(n int, first bool, seeds ...int) *node.Node {
 	w.T.Helper()
 	opt := host.DefaultOptions()
 	// Orders get long terms, for slow machines, and are tried early in them.
@@ -249,7 +258,7 @@
 	if n > 20 {
 		opt.Role = host.RoleCache
 	}
-	node, err := Open(w.Settings(n, first, seeds...), "", opt)
+	node, err := node.Open(w.Settings(n, first, seeds...), "", opt)
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -441,7 +450,7 @@
 	return w
 }
 
-func (w *Cluster) Control(n int) *ControlServer { return w.Nodes[fmt.Sprint(n)].Control() }
+func (w *Cluster) Control(n int) *control.Server { return w.Nodes[fmt.Sprint(n)].Control() }
 
 // IsVoter tells whether hut n has a vote, as hut by knows it.
 func (w *Cluster) IsVoter(by, n int) bool {
@@ -485,7 +494,7 @@
 }
 
 // Rollout reads how far the plain service's order is.
-func (w *Cluster) Rollout(n int) (status int, r RolloutStatus) {
+func (w *Cluster) Rollout(n int) (status int, r control.RolloutStatus) {
 	status, body := w.Operate(n, "GET", "/-/rollouts/plain", "", "")
 	_ = json.Unmarshal([]byte(body), &r)
 	return status, r
@@ -573,7 +582,7 @@
 }
 
 // SingleControlNode is a town of one hut with a configuration in force.
-func SingleControlNode(t *testing.T) (*Cluster, *ControlServer) {
+func SingleControlNode(t *testing.T) (*Cluster, *control.Server) {
 	w := New(t)
 	node := w.Run(1, true, 1)
 	w.Eventually("the first configuration is acknowledged", func() bool {
