--- a/internal/control/table.go
+++ b/internal/control/table.go
@@ -51,7 +51,7 @@
 	if d.From == (endpoints.Stamp{}) {
 		from = nil
 	}
-	if t := from.Apply(d); t != nil {
+	if t := from.ApplyDelta(d); t != nil {
 		h.mergeTable(t)
 	}
 	if h.table == nil {
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -44,7 +44,7 @@
 					t.Errorf("what came can't be read: %v", err)
 					return
 				}
-				tables[i] = (*endpoints.Table)(nil).Apply(d)
+				tables[i] = (*endpoints.Table)(nil).ApplyDelta(d)
 			}()
 		}
 		wg.Wait()
--- a/internal/endpoints/delta.go
+++ b/internal/endpoints/delta.go
@@ -86,10 +86,10 @@
 	}
 }
 
-// Apply returns the table that the delta leads to from t, which may be nil and
+// ApplyDelta returns the table that the delta leads to from t, which may be nil and
 // is not changed. A snapshot applies to any table. It returns nil where the
 // delta starts from another table.
-func (t *Table) Apply(d *Delta) *Table {
+func (t *Table) ApplyDelta(d *Delta) *Table {
 	if t == nil || d.From == (Stamp{}) {
 		t = &Table{}
 	}
--- a/internal/endpoints/delta_test.go
+++ b/internal/endpoints/delta_test.go
@@ -16,10 +16,10 @@
 	if len(d.Upserts) != 2 || len(d.Removed) != 1 || len(d.Draining) != 1 || len(d.WarmedUp) != 1 {
 		t.Fatalf("%+v", d)
 	}
-	if got := a.Apply(d); !reflect.DeepEqual(got, b) {
+	if got := a.ApplyDelta(d); !reflect.DeepEqual(got, b) {
 		t.Fatalf("%+v", got)
 	}
-	if b.Apply(d) != nil || (*Table)(nil).Apply(d) != nil {
+	if b.ApplyDelta(d) != nil || (*Table)(nil).ApplyDelta(d) != nil {
 		t.Fatal("a delta was applied to another table")
 	}
 }
@@ -30,7 +30,7 @@
 	snapshot := Diff(nil, b)
 	for name, base := range map[string]*Table{"no table": nil, "another table": a, "the same table": b} {
 		t.Run(name, func(t *testing.T) {
-			if got := base.Apply(snapshot); !reflect.DeepEqual(got, b) {
+			if got := base.ApplyDelta(snapshot); !reflect.DeepEqual(got, b) {
 				t.Errorf("got %+v", got)
 			}
 		})
@@ -47,7 +47,7 @@
 				if from == nil && to == nil {
 					continue
 				}
-				if got := from.Apply(Diff(from, to)); !reflect.DeepEqual(got, to) {
+				if got := from.ApplyDelta(Diff(from, to)); !reflect.DeepEqual(got, to) {
 					t.Fatalf("seed %d:\nfrom %+v\nto   %+v\ngot  %+v", seed, from, to, got)
 				}
 			}
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -379,7 +379,7 @@
 		if d.From == (endpoints.Stamp{}) {
 			from = nil
 		}
-		if table := from.Apply(d); table != nil {
+		if table := from.ApplyDelta(d); table != nil {
 			t.setTable(table)
 		}
 	}
