--- a/cmd/swiftswitch/main.go
+++ b/cmd/swiftswitch/main.go
@@ -2,7 +2,6 @@
 package main
 
 import (
-	"swiftswitch/internal/node"
 	"bytes"
 	"encoding/json"
 	"fmt"
@@ -12,6 +11,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"swiftswitch/internal/node"
 	"time"
 
 	"swiftswitch/internal/config"
@@ -91,18 +91,18 @@
 	f.StringVar(&dir, "data", "", "data directory in place of the settings' DataDirectory")
 	f.StringVar(&profile, "cpu-profile", "", "write a processor profile to this file at the end")
 	f.BoolVar(&debug, "debug", false, "log events of level debug too")
-	f.Float64Var(&opt.Shelf, "shelf", opt.Shelf, "part of MemoryMb that a front's own copies may take")
-	f.Float64Var(&opt.LarderShelf, "larder-shelf", opt.LarderShelf, "part of MemoryMb that a larder's copies may take")
-	f.IntVar(&opt.Slots, "slots", opt.Slots, "R: searchers that hold a slot of one shard at most")
-	f.Float64Var(&opt.SwitchWait, "switch-wait", opt.SwitchWait, "part of ConfigEffectMs for which an old cut may serve on")
-	f.Float64Var(&opt.LeaseBeats, "lease-beats", opt.LeaseBeats, "a slot's lease, in heartbeats")
-	f.Float64Var(&opt.HedgeAt, "hedge-at", opt.HedgeAt, "part of the target after which a straggler gets company")
-	f.Float64Var(&opt.Soft, "soft", opt.Soft, "part of the target after which a partial answer is weighed")
-	f.Float64Var(&opt.Late, "late-worth", opt.Late, "what a late answer is taken to be worth beside one in time")
-	f.Float64Var(&opt.BudgetKeep, "budget-keep", opt.BudgetKeep, "part of the retry budget that is used at most")
-	f.Float64Var(&opt.FarPenalty, "far-penalty", opt.FarPenalty, "part of the target by which a searcher in another zone must be faster")
-	f.Float64Var(&opt.Crowd, "crowd", opt.Crowd, "how many times its slots a searcher may have to do before requests of the highest priority are refused")
-	f.BoolVar(&opt.Saddle, "saddle", opt.Saddle, "gather shards without a searcher in this zone by way of a front in another")
+	f.Float64Var(&opt.FrontCacheRatio, "shelf", opt.FrontCacheRatio, "part of MemoryMb that a front's own copies may take")
+	f.Float64Var(&opt.CacheNodeRatio, "larder-shelf", opt.CacheNodeRatio, "part of MemoryMb that a larder's copies may take")
+	f.IntVar(&opt.MaxSlotHolders, "slots", opt.MaxSlotHolders, "R: searchers that hold a slot of one shard at most")
+	f.Float64Var(&opt.LayoutSwitchWait, "switch-wait", opt.LayoutSwitchWait, "part of ConfigEffectMs for which an old cut may serve on")
+	f.Float64Var(&opt.SlotLeaseHeartbeats, "lease-beats", opt.SlotLeaseHeartbeats, "a slot's lease, in heartbeats")
+	f.Float64Var(&opt.HedgeAfter, "hedge-at", opt.HedgeAfter, "part of the target after which a straggler gets company")
+	f.Float64Var(&opt.PartialAnswerAfter, "soft", opt.PartialAnswerAfter, "part of the target after which a partial answer is weighed")
+	f.Float64Var(&opt.LateAnswerValue, "late-worth", opt.LateAnswerValue, "what a late answer is taken to be worth beside one in time")
+	f.Float64Var(&opt.RetryBudgetUse, "budget-keep", opt.RetryBudgetUse, "part of the retry budget that is used at most")
+	f.Float64Var(&opt.RemoteZonePenalty, "far-penalty", opt.RemoteZonePenalty, "part of the target by which a searcher in another zone must be faster")
+	f.Float64Var(&opt.OverloadFactor, "crowd", opt.OverloadFactor, "how many times its slots a searcher may have to do before requests of the highest priority are refused")
+	f.BoolVar(&opt.Relay, "saddle", opt.Relay, "gather shards without a searcher in this zone by way of a front in another")
 	r, ch := &opt.Rollout, &opt.Rollout.Chart
 	f.Float64Var(&r.Canary, "rollout-canary", r.Canary, "part of ExposureShare that goes to a new version at first")
 	f.Float64Var(&r.Trial, "rollout-trial", r.Trial, "share of the requests that goes to a new version in its trial under load")
@@ -120,7 +120,7 @@
 	f.Float64Var(&ch.Fall, "chart-fall", ch.Fall, "slope of the limit beyond --chart-knot")
 	f.BoolVar(&ch.HeadStart, "chart-head-start", ch.HeadStart, "begin the sums at half of --chart-start")
 	f.Float64Var(&ch.Shewhart, "chart-shewhart", ch.Shewhart, "also signal at one subgroup so many standard errors out (0: off)")
-	f.BoolVar(&opt.Hearsay, "hearsay", opt.Hearsay, "tell other fronts, by way of huts, which searchers do not answer")
+	f.BoolVar(&opt.ShareUnreachable, "hearsay", opt.ShareUnreachable, "tell other fronts, by way of huts, which searchers do not answer")
 	return c
 }
 
--- a/internal/cachenode/fetcher.go
+++ b/internal/cachenode/fetcher.go
@@ -284,8 +284,8 @@
 // Get gives a copy that may be served, fetching it if need be; it waits at
 // most for wait, and then tells that it is under way.
 func (k *Fetcher) Get(a nodeapi.CacheFetchRequest, lifetime time.Duration, sends func(string) bool) (nodeapi.CacheFetchResponse, []byte) {
-	until := time.Now().Add(time.Duration(min(a.WaitMs, a.LeftMs)) * time.Millisecond)
-	for k.purges.Known() < a.Purge && time.Now().Before(until) {
+	until := time.Now().Add(time.Duration(min(a.PollTimeoutMs, a.TimeLeftMs)) * time.Millisecond)
+	for k.purges.Known() < a.PurgeSeq && time.Now().Before(until) {
 		// The asker has heard of a purge that this node has not: it is on its way.
 		time.Sleep(k.host.Heartbeats(0.01))
 	}
@@ -303,14 +303,14 @@
 			k.mu.Unlock()
 			return nodeapi.CacheFetchResponse{Status: nodeapi.StatusNoQuota}, nil
 		}
-		left, aim := time.Duration(a.LeftMs)*time.Millisecond, time.Duration(a.AimMs)*time.Millisecond
+		left, aim := time.Duration(a.TimeLeftMs)*time.Millisecond, time.Duration(a.TargetLatencyMs)*time.Millisecond
 		f := k.queue.Want(a.Host, a.Target, a.Service, a.Weight, now, now+left, aim/3)
 		back := k.expectedWait(f, now)
 		k.mu.Unlock()
 		k.wake()
-		if !a.Again && back > aim || back > time.Duration(float64(left)*rejectAboveWait) {
+		if !a.IsRetry && back > aim || back > time.Duration(float64(left)*rejectAboveWait) {
 			// Told now when it will be there, the client loses less than by waiting.
-			return nodeapi.CacheFetchResponse{Status: 503, BackMs: min(back, left/4).Milliseconds()}, nil
+			return nodeapi.CacheFetchResponse{Status: 503, RetryAfterMs: min(back, left/4).Milliseconds()}, nil
 		}
 		t := time.NewTimer(time.Until(until))
 		select {
@@ -328,9 +328,9 @@
 			}
 			continue
 		case f.Passed != nil:
-			return nodeapi.CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, Passed: true}, f.Passed.Body
+			return nodeapi.CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, PassThrough: true}, f.Passed.Body
 		}
-		return nodeapi.CacheFetchResponse{Status: f.Status, BackMs: int64(k.host.Heartbeats(0.1) / time.Millisecond)}, nil
+		return nodeapi.CacheFetchResponse{Status: f.Status, RetryAfterMs: int64(k.host.Heartbeats(0.1) / time.Millisecond)}, nil
 	}
 }
 
@@ -360,7 +360,7 @@
 }
 
 func objectResponse(c *cache.Copy, known int64, now time.Duration) (nodeapi.CacheFetchResponse, []byte) {
-	return nodeapi.CacheFetchResponse{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, Known: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
+	return nodeapi.CacheFetchResponse{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, PurgeSeq: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
 }
 
 // HandleFetch takes a front's ask.
@@ -371,7 +371,7 @@
 	}
 	s := nodeapi.CacheFetchResponse{Status: 503}
 	var body []byte
-	if r := k.front.Route(a.Host, a.Target); r != nil && a.LeftMs > 0 && r.Cached && r.Sends(a.Service) {
+	if r := k.front.Route(a.Host, a.Target); r != nil && a.TimeLeftMs > 0 && r.Cached && r.Sends(a.Service) {
 		s, body = k.Get(a, r.Lifetime, r.Sends)
 	}
 	c.SetStatusCode(200)
--- a/internal/control/consensus.go
+++ b/internal/control/consensus.go
@@ -25,9 +25,9 @@
 func (h *Server) handleConsensus(m nodeapi.ConsensusRequest) (say nodeapi.ConsensusResponse, err error) {
 	done := make(chan error, 1)
 	h.loop.Call(func() {
-		if v := m.Value; v != nil && v.Body == "" && m.Packed != nil && m.Slot == h.acceptor.State.Slot+1 {
+		if v := m.Value; v != nil && v.Body == "" && m.PackedBody != nil && m.Slot == h.acceptor.State.Slot+1 {
 			whole := *v
-			if whole.Body, err = codec.DecompressDelta(h.acceptor.State.Body, m.Packed, h.host.MaxMessageBytes()); err != nil {
+			if whole.Body, err = codec.DecompressDelta(h.acceptor.State.Body, m.PackedBody, h.host.MaxMessageBytes()); err != nil {
 				done <- err
 				return
 			}
@@ -38,13 +38,13 @@
 		say.Response, needs = h.acceptor.Handle(m.Request)
 		h.highestRound = max(h.highestRound, m.Ballot.Round, h.acceptor.Promised.Round)
 		if h.acceptor.AcceptedBallot != was {
-			h.packedValue = m.Packed
+			h.packedValue = m.PackedBody
 		}
 		if say.AcceptedValue != nil {
-			say.AcceptedValue, say.Packed = nodeapi.WithoutBody(say.AcceptedValue, h.packedValue), h.packedValue
+			say.AcceptedValue, say.PackedBody = nodeapi.WithoutBody(say.AcceptedValue, h.packedValue), h.packedValue
 		}
 		if say.NewerState != nil {
-			say.NewerState, say.News = nil, h.stateDelta(m.Slot-1)
+			say.NewerState, say.Delta = nil, h.stateDelta(m.Slot-1)
 		}
 		if h.acceptor.IsDurable(needs) {
 			done <- nil
@@ -70,8 +70,8 @@
 // unpackResponse opens a reply to a ballot on base: what was packed for the wire is
 // whole again.
 func (h *Server) unpackResponse(base consensus.State, say nodeapi.ConsensusResponse) (consensus.Response, error) {
-	if say.AcceptedValue != nil && say.Packed != nil {
-		body, err := codec.DecompressDelta(base.Body, say.Packed, h.host.MaxMessageBytes())
+	if say.AcceptedValue != nil && say.PackedBody != nil {
+		body, err := codec.DecompressDelta(base.Body, say.PackedBody, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Response, err
 		}
@@ -79,8 +79,8 @@
 		whole.Body = body
 		say.AcceptedValue = &whole
 	}
-	if say.News != nil {
-		n, err := say.News.Unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
+	if say.Delta != nil {
+		n, err := say.Delta.Unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
 		if err != nil {
 			return say.Response, err
 		}
@@ -104,7 +104,7 @@
 		if v := s.VersionAt(from); v > 0 {
 			for _, b := range h.pastBodies {
 				if b.Version == v {
-					base, n.Base = b.Body, v
+					base, n.BaseVersion = b.Body, v
 				}
 			}
 		}
@@ -113,7 +113,7 @@
 			events.Log(events.InvariantViolated, "pack", err)
 			panic(err)
 		}
-		n.Body, n.Packed = "", packed
+		n.Body, n.PackedBody = "", packed
 	}
 	if len(h.stateDeltas) >= maxStateDeltas {
 		clear(h.stateDeltas)
@@ -163,13 +163,13 @@
 // which this node has it all on disk.
 func (h *Server) handleLearn(c *app.RequestContext, m nodeapi.LearnRequest) {
 	h.loop.Call(func() {
-		if m.News != nil {
-			h.applyStateDelta(m.News, "told")
+		if m.Delta != nil {
+			h.applyStateDelta(m.Delta, "told")
 		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.AcceptedValue != nil && h.acceptor.AcceptedBallot == m.Ballot {
 			h.learn(h.acceptor.State.Apply(*h.acceptor.AcceptedValue), "accepted")
 		}
 	})
-	transport.WriteJSON(c, 200, nodeapi.LearnResponse{Slot: h.waitDurable()})
+	transport.WriteJSON(c, 200, nodeapi.LearnResponse{DurableSlot: h.waitDurable()})
 }
 
 // sendState brings another hut up to what this one knows, and gives the slot up
@@ -184,15 +184,15 @@
 			if from > m.Slot {
 				from = m.Slot
 			}
-			m.News = h.stateDelta(from)
+			m.Delta = h.stateDelta(from)
 		})
 		var say nodeapi.LearnResponse
 		if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathLearn, m, &say, time.Until(until)) != nil {
 			return -1
 		}
-		if say.Slot >= m.Slot || from == consensus.NoSlot || time.Now().After(until) {
-			events.Log(events.HintsDelivered, "to", ip, "slot", say.Slot)
-			return say.Slot
+		if say.DurableSlot >= m.Slot || from == consensus.NoSlot || time.Now().After(until) {
+			events.Log(events.HintsDelivered, "to", ip, "slot", say.DurableSlot)
+			return say.DurableSlot
 		}
 	}
 	return -1
--- a/internal/control/data_loss_test.go
+++ b/internal/control/data_loss_test.go
@@ -6,14 +6,14 @@
 )
 
 func TestLostDiskAndReplacedHut(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	if st, _ := w.PutConfiguration(1, "PUT", "3", testcluster.ConfigurationBody(4, "s1", "s2")); st != 200 {
 		t.Fatal(st)
 	}
 	// Hut 1 loses its disk right after it acknowledged.
 	w.Kill("1")
 	w.DataDirs["hut-1"] = t.TempDir()
-	w.Run(1, false, 2, 3)
+	w.StartNode(1, false, 2, 3)
 	w.Eventually("the empty hut votes under a new identity", func() bool {
 		s := w.Nodes["2"].Control().State()
 		return s.IsVoter(w.Nodes["1"].Control().ID()) && len(s.Voters) == 3
@@ -23,7 +23,7 @@
 	}
 	// Hut 3 goes for good; an empty one comes at another address.
 	w.Kill("3")
-	w.Run(4, false, 1, 2)
+	w.StartNode(4, false, 1, 2)
 	w.Eventually("the new hut has the place of the one that is gone", func() bool {
 		s := w.Nodes["1"].Control().State()
 		return s.IsVoter(w.Nodes["4"].Control().ID()) && len(s.Voters) == 3
@@ -57,9 +57,9 @@
 			t.Errorf("%d fronts are remembered", before)
 		}
 	}()
-	w.Run(4, false, 2)
-	w.Run(1, false, 4)
-	w.Run(2, false, 4, 1)
+	w.StartNode(4, false, 2)
+	w.StartNode(1, false, 4)
+	w.StartNode(2, false, 4, 1)
 	w.Eventually("the newest acknowledged version is read back", func() bool {
 		st, body := w.PutConfiguration(2, "GET", "", "")
 		return st == 200 && (body == testcluster.ConfigurationBody(5, "s1", "s2") || body == testcluster.ConfigurationBody(6, "s1", "s2"))
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -22,11 +22,11 @@
 
 // heartbeat is this node's sign of life; it runs on the desk.
 func (h *Server) heartbeat() nodeapi.Heartbeat {
-	b := nodeapi.Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, Slot: h.acceptor.State.Slot, Kept: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Leaving: h.host.Draining.Load()}
-	b.Unfit = !h.pollLease.Eligible(h.host.Now())
-	b.Fronts = h.frontCount
-	b.Roll = h.frontRoster().Roll
-	b.Spent = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.Now()).Spent
+	b := nodeapi.Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, DecidedSlot: h.acceptor.State.Slot, DurableSlot: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Draining: h.host.Draining.Load()}
+	b.Ineligible = !h.pollLease.Eligible(h.host.Now())
+	b.FrontCount = h.frontCount
+	b.RosterRevision = h.frontRoster().Revision
+	b.ElapsedMs = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.Now()).Spent
 	if h.table != nil {
 		b.Stamp = h.table.Stamp
 	}
@@ -36,25 +36,25 @@
 // onHeartbeat takes another hut's sign of life; it runs on the desk.
 func (h *Server) onHeartbeat(b nodeapi.Heartbeat) {
 	now := h.host.Now()
-	h.peers[b.IP] = peerState{b.ID, now, b.Leaving, b.Zone, b.Slot}
+	h.peers[b.IP] = peerState{b.ID, now, b.Draining, b.Zone, b.DecidedSlot}
 	h.detector.OnHeartbeat(b.ID, now)
-	h.onFrontCount(b.Fronts, now)
-	h.pollLease.OnHeartbeat(b.ID, !b.Leaving && !b.Unfit, now)
+	h.onFrontCount(b.FrontCount, now)
+	h.pollLease.OnHeartbeat(b.ID, !b.Draining && !b.Ineligible, now)
 	h.pollLease.ObserveEpoch(b.Epoch, b.Holder)
-	for order, ms := range b.Spent {
+	for order, ms := range b.ElapsedMs {
 		if h.rolloutRunning(order) {
 			h.rollouts.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
 		}
 	}
-	if r := h.peerRosters[b.IP]; r.Roll != b.Roll && !r.fetching {
+	if r := h.peerRosters[b.IP]; r.Revision != b.RosterRevision && !r.fetching {
 		r.fetching = true
 		h.peerRosters[b.IP] = r
 		go h.fetchRoster(b.IP)
 	}
-	h.handoff.OnAcknowledged(b.IP, b.Kept)
-	if b.Slot < h.acceptor.State.Slot && h.handoff.NeedsHandoff(b.IP, h.acceptor.State.Slot) {
+	h.handoff.OnAcknowledged(b.IP, b.DurableSlot)
+	if b.DecidedSlot < h.acceptor.State.Slot && h.handoff.NeedsHandoff(b.IP, h.acceptor.State.Slot) {
 		h.handoff.Begin(b.IP)
-		go h.handOff(b.IP, b.Slot)
+		go h.handOff(b.IP, b.DecidedSlot)
 	}
 	if t := h.table; t != nil && b.Stamp.Before(t.Stamp) {
 		h.sendTable(b.IP, b.Stamp)
@@ -113,12 +113,12 @@
 	h.loop.Call(func() {
 		sent = h.host.Now()
 		b = h.heartbeat()
-		bid, b.Renews = h.leaseRenewals(sent)
+		bid, b.Renewals = h.leaseRenewals(sent)
 		for _, ip := range h.peerIPs() {
 			// A beat's answer is one as well: of two that hear each other, one
 			// sends. A holder sends to all voters, as its renewals go along.
 			o, ok := h.peers[ip]
-			if ok && sent-o.heardAt < h.host.Heartbeats(0.6) && !b.Leaving && !h.initiatesHeartbeat(b, ip, o) {
+			if ok && sent-o.heardAt < h.host.Heartbeats(0.6) && !b.Draining && !h.initiatesHeartbeat(b, ip, o) {
 				known++
 				continue
 			}
@@ -146,7 +146,7 @@
 // sends the beats; it runs on the desk.
 func (h *Server) initiatesHeartbeat(b nodeapi.Heartbeat, ip string, o peerState) bool {
 	switch {
-	case b.Renews != nil && h.acceptor.State.IsVoter(o.id):
+	case b.Renewals != nil && h.acceptor.State.IsVoter(o.id):
 		return true
 	case o.id == h.pollLease.ObservedHolder && h.acceptor.State.IsVoter(h.acceptor.ID):
 		return false
--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -81,9 +81,9 @@
 	var err error
 	sent := h.host.Now()
 	if ip == h.host.Settings().IpAddress {
-		say, err = h.handleLeaseRequest(nodeapi.LeaseRequest{Bid: b})
+		say, err = h.handleLeaseRequest(nodeapi.LeaseRequest{Request: b})
 	} else {
-		err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathLease, nodeapi.LeaseRequest{Bid: b}, &say, h.host.Heartbeats(0.8))
+		err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathLease, nodeapi.LeaseRequest{Request: b}, &say, h.host.Heartbeats(0.8))
 	}
 	h.loop.Submit(func() {
 		delete(h.leaseRequests, id)
@@ -124,12 +124,12 @@
 func (h *Server) releaseLease(b lease.Request) {
 	for _, v := range h.State().Voters {
 		if v.IP == h.host.Settings().IpAddress {
-			_, _ = h.handleLeaseRequest(nodeapi.LeaseRequest{Bid: b, Release: true})
+			_, _ = h.handleLeaseRequest(nodeapi.LeaseRequest{Request: b, Release: true})
 			continue
 		}
 		go func() {
 			var say nodeapi.LeaseResponse
-			_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathLease, nodeapi.LeaseRequest{Bid: b, Release: true}, &say, h.host.Heartbeats(0.8))
+			_ = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathLease, nodeapi.LeaseRequest{Request: b, Release: true}, &say, h.host.Heartbeats(0.8))
 		}()
 	}
 }
@@ -140,7 +140,7 @@
 	h.loop.Call(func() {
 		now := h.host.Now()
 		if m.Release {
-			h.voter.HandleRelease(m.Bid, now)
+			h.voter.HandleRelease(m.Request, now)
 			select {
 			case h.leaseReleased <- struct{}{}:
 			default:
@@ -149,7 +149,7 @@
 			return
 		}
 		var write int64
-		say.Grant, write = h.grantLease(m.Bid, now)
+		say.Grant, write = h.grantLease(m.Request, now)
 		if h.table != nil {
 			say.Stamp = h.table.Stamp
 		}
@@ -191,14 +191,14 @@
 	if g, write := h.grantLease(b, now); write == 0 {
 		h.pollLease.OnResponse(b, g, now, now)
 	}
-	return b, map[string]nodeapi.LeaseRenewal{b.Role: {Epoch: b.Epoch, Life: b.Incarnation, VotersSlot: b.VotersSlot}}
+	return b, map[string]nodeapi.LeaseRenewal{b.Role: {Epoch: b.Epoch, Incarnation: b.Incarnation, VotersSlot: b.VotersSlot}}
 }
 
 // grantRenewals answers the renewals of a beat: those that need no write are granted,
 // the others must be bid for. It runs on the desk.
 func (h *Server) grantRenewals(m nodeapi.Heartbeat) (granted []string) {
-	for duty, r := range m.Renews {
-		if g, write := h.grantLease(lease.Request{Role: duty, Epoch: r.Epoch, Holder: m.ID, Incarnation: r.Life, VotersSlot: r.VotersSlot}, h.host.Now()); g.Granted && write == 0 {
+	for duty, r := range m.Renewals {
+		if g, write := h.grantLease(lease.Request{Role: duty, Epoch: r.Epoch, Holder: m.ID, Incarnation: r.Incarnation, VotersSlot: r.VotersSlot}, h.host.Now()); g.Granted && write == 0 {
 			granted = append(granted, duty)
 		}
 	}
@@ -207,7 +207,7 @@
 
 // onRenewals takes the answer to renewals sent then; it runs on the desk.
 func (h *Server) onRenewals(b lease.Request, say nodeapi.Heartbeat, sent time.Duration) {
-	if b.Epoch > 0 && slices.Contains(say.Granted, b.Role) {
+	if b.Epoch > 0 && slices.Contains(say.GrantedRoles, b.Role) {
 		h.pollLease.OnResponse(b, lease.Response{Voter: say.ID, Granted: true}, sent, h.host.Now())
 	}
 }
--- a/internal/control/lease_test.go
+++ b/internal/control/lease_test.go
@@ -11,7 +11,7 @@
 // epoch; the majority goes on, what it saw drain stays so, and the healed one
 // follows.
 func TestPollerCutOff(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	one, two, three := w.Nodes["1"].Control(), w.Nodes["2"].Control(), w.Nodes["3"].Control()
 	w.Eventually("the first has the duty", func() bool { return one.Status().Polling })
 	before := one.Status()
@@ -32,12 +32,12 @@
 		return st.Polling && st.Epoch > before.Epoch && st.Holder == st.ID
 	})
 	w.Eventually("the fronts leave the searcher alone", func() bool {
-		ran := s["plain-a"].Ran()
+		ran := s["plain-a"].RunCount()
 		for range 6 {
 			w.Request(11, "GET", "/p/x", "")
 			w.Request(12, "GET", "/p/x", "")
 		}
-		return s["plain-a"].Ran() == ran
+		return s["plain-a"].RunCount() == ran
 	})
 	// The list lags and calls it ready once more. Several leases go by.
 	w.SetSearcherState("plain-a", "ready")
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -60,7 +60,7 @@
 	done := make(chan error, 1)
 	h.loop.Call(func() {
 		held = h.heartbeat()
-		held.Fronts = h.persistedFrontCount
+		held.FrontCount = h.persistedFrontCount
 		// The store writes in order: once this is on disk, so is all before it.
 		s := h.acceptor.State
 		h.store.PutAll(records.StateRecords(s, s.Version, s.AppliedCount), func(e error) {
@@ -87,12 +87,12 @@
 			return held, false
 		}
 		err := h.host.Client.CallJSON(addr, nodeapi.PathPersist, struct{}{}, &held, within)
-		if err == nil && held.Slot >= s.Slot {
-			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held.Slot) })
+		if err == nil && held.DecidedSlot >= s.Slot {
+			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held.DecidedSlot) })
 			return held, true
 		}
 		if err == nil {
-			h.sendState(ip, held.Slot, within)
+			h.sendState(ip, held.DecidedSlot, within)
 		} else {
 			time.Sleep(min(h.host.Heartbeats(0.05), max(0, time.Until(until))))
 		}
@@ -196,10 +196,10 @@
 // among those that answered, the ones that know most first.
 func (h *Server) catchUp() (judges []string) {
 	seen := h.peekPeers()
-	slices.SortStableFunc(seen, func(a, b peekedPeer) int { return int(b.say.Slot - a.say.Slot) })
+	slices.SortStableFunc(seen, func(a, b peekedPeer) int { return int(b.say.DecidedSlot - a.say.DecidedSlot) })
 	s := h.State()
 	for _, x := range seen {
-		if len(s.Voters) > 0 && x.say.Slot <= s.Slot {
+		if len(s.Voters) > 0 && x.say.DecidedSlot <= s.Slot {
 			break
 		}
 		slot, fits := int64(0), false
@@ -225,7 +225,7 @@
 		break
 	}
 	for _, x := range seen {
-		if s.IsVoter(x.say.ID) {
+		if s.IsVoter(x.say.AcceptorID) {
 			judges = append(judges, x.ip)
 		}
 	}
@@ -242,9 +242,9 @@
 			asked++
 			go func() {
 				var say nodeapi.JoinResponse
-				err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathJoin, nodeapi.JoinRequest{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, Slot: h.waitDurable()}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.4))
-				events.Log(events.JoinRequested, "of", ip, "votes", say.Votes, "err", err)
-				in <- err == nil && say.Votes
+				err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathJoin, nodeapi.JoinRequest{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, DurableSlot: h.waitDurable()}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.4))
+				events.Log(events.JoinRequested, "of", ip, "votes", say.IsVoter, "err", err)
+				in <- err == nil && say.IsVoter
 			}()
 		}
 		select {
@@ -265,7 +265,7 @@
 
 // evaluateJoin asks the voters and the newcomer, and judges.
 func (h *Server) evaluateJoin(m nodeapi.JoinRequest, s consensus.State) ([]consensus.Voter, membership.Decision) {
-	c := membership.Admission{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, NewcomerSlot: m.Slot, TargetVoters: h.targetVoters(), Leaving: map[string]bool{}, VoterReports: []membership.Report{h.memberReport()}}
+	c := membership.Admission{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, NewcomerSlot: m.DurableSlot, TargetVoters: h.targetVoters(), Leaving: map[string]bool{}, VoterReports: []membership.Report{h.memberReport()}}
 	h.loop.Call(func() {
 		for _, v := range s.Voters {
 			if o, ok := h.peers[v.IP]; ok && o.id == v.ID && o.leaving {
@@ -325,13 +325,13 @@
 		voters, v := h.evaluateJoin(m, s)
 		switch v {
 		case membership.AlreadyVoter:
-			return nodeapi.JoinResponse{Votes: h.majorityDurable(s, until), Slot: s.Slot}
+			return nodeapi.JoinResponse{IsVoter: h.majorityDurable(s, until), DecidedSlot: s.Slot}
 		case membership.EvaluatorBehind:
 			h.propose(s, nil)
 			continue
 		}
 		if voters == nil {
-			return nodeapi.JoinResponse{Slot: s.Slot}
+			return nodeapi.JoinResponse{DecidedSlot: s.Slot}
 		}
 		h.loop.Call(func() {
 			if o, ok := h.peers[m.IP]; !ok || o.id != m.ID {
@@ -340,15 +340,15 @@
 		})
 		// Most of it is handed over before orders have to wait for it.
 		if held, ok := h.ensureDurableAt(m.IP, s, until); !ok || held.ID != m.ID {
-			return nodeapi.JoinResponse{Slot: s.Slot}
+			return nodeapi.JoinResponse{DecidedSlot: s.Slot}
 		}
 		if chosen, ok := h.changeVoters(m, s.Voters, voters, until); ok {
 			on := h.majorityDurable(chosen, until)
 			events.Log(events.VoterAdded, "id", m.ID, "ip", m.IP, "why", v.String(), "slot", chosen.Slot, "kept", on)
-			return nodeapi.JoinResponse{Votes: on, Slot: chosen.Slot}
+			return nodeapi.JoinResponse{IsVoter: on, DecidedSlot: chosen.Slot}
 		}
 	}
-	return nodeapi.JoinResponse{Slot: h.State().Slot}
+	return nodeapi.JoinResponse{DecidedSlot: h.State().Slot}
 }
 
 // changeVoters has the voters changed from those that the case was judged by.
@@ -366,7 +366,7 @@
 			return s, false
 		}
 		// On the very base: whoever votes next must have it on disk.
-		if held, ok := h.ensureDurableAt(m.IP, s, earlier(until, time.Now().Add(h.host.Heartbeats(0.6)))); !ok || held.ID != m.ID || held.Leaving {
+		if held, ok := h.ensureDurableAt(m.IP, s, earlier(until, time.Now().Add(h.host.Heartbeats(0.6)))); !ok || held.ID != m.ID || held.Draining {
 			return s, false
 		}
 		if !h.propose(s, &consensus.Value{Voters: to}) {
@@ -390,7 +390,7 @@
 		go func() {
 			if v.ID == h.acceptor.ID {
 				held, err := h.persistAndReport()
-				in <- err == nil && held.Slot >= s.Slot
+				in <- err == nil && held.DecidedSlot >= s.Slot
 				return
 			}
 			held, ok := h.ensureDurableAt(v.IP, s, until)
@@ -541,11 +541,11 @@
 		}
 		for range to {
 			held := <-in
-			if held == nil || held.Leaving {
+			if held == nil || held.Draining {
 				continue
 			}
 			p.StateReplicas++
-			if !held.Stamp.Before(mine.Stamp) && held.Fronts >= mine.Fronts {
+			if !held.Stamp.Before(mine.Stamp) && held.FrontCount >= mine.FrontCount {
 				p.TableReplicas++
 			}
 			if need := min(p.ToleratedFailures+1, p.StayingNodes); p.StateReplicas >= need && p.TableReplicas >= need {
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -20,13 +20,13 @@
 // well within CatchUpS of its own start beyond the silence that must be, and
 // the moment it has it, another disk may be lost.
 func TestReplacedUnderAStorm(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
 	end := startChanges(w, 1, 2)
 	time.Sleep(200 * time.Millisecond)
 	w.Kill("3")
 	time.Sleep(w.Control(1).ReplacementTimeout())
 	at := time.Now()
-	w.Run(4, false, 1, 2)
+	w.StartNode(4, false, 1, 2)
 	for !w.IsVoter(4, 4) {
 		if time.Since(at) > 2500*time.Millisecond {
 			end()
@@ -49,10 +49,10 @@
 		}
 		return true
 	})
-	w.Run(1, false, 4)
+	w.StartNode(1, false, 4)
 	w.Eventually("the lost disk votes again", func() bool { return w.IsVoter(2, 1) })
 	// The one that was replaced comes back with its disk and its old vote.
-	w.Run(3, false, 1, 2)
+	w.StartNode(3, false, 1, 2)
 	w.Eventually("it learns that it was replaced", func() bool { return !w.IsVoter(3, 3) })
 	if st, body := w.PutConfiguration(3, "GET", "", ""); st != 200 || !strings.HasPrefix(body, `{"Version":`) {
 		t.Fatalf("%d %s", st, body)
@@ -65,7 +65,7 @@
 
 // One judge hears nothing of a member that all others hear: it replaces nobody.
 func TestOneJudgeIsWronglySilent(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
 	h := w.Control(1)
 	stop := make(chan struct{})
 	deaf := make(chan struct{})
@@ -95,18 +95,18 @@
 		}
 	}()
 	defer func() { close(stop); <-deaf }()
-	w.Run(4, false, 1)
+	w.StartNode(4, false, 1)
 	w.Eventually("hut 1 calls hut 3 silent", func() bool { return len(h.MemberReport().Suspected) == 1 })
 	w.Eventually("the newcomer is caught up", func() bool { return w.Control(4).State().Version == 3 })
-	say := h.HandleJoin(nodeapi.JoinRequest{ID: w.Control(4).ID(), IP: w.IP(4), Slot: w.Control(4).WaitDurable()})
+	say := h.HandleJoin(nodeapi.JoinRequest{ID: w.Control(4).ID(), IP: w.IP(4), DurableSlot: w.Control(4).WaitDurable()})
 	time.Sleep(700 * time.Millisecond)
-	if say.Votes || w.IsVoter(2, 4) || !w.IsVoter(2, 3) {
+	if say.IsVoter || w.IsVoter(2, 4) || !w.IsVoter(2, 3) {
 		t.Fatalf("replaced by one node's timer: %v", w.Control(2).State().Voters)
 	}
 	// With hut 3 really gone, one node that has no majority replaces nobody either.
 	w.Kill("3")
 	w.Kill("2")
-	if say := h.HandleJoin(nodeapi.JoinRequest{ID: w.Control(4).ID(), IP: w.IP(4), Slot: w.Control(4).WaitDurable()}); say.Votes {
+	if say := h.HandleJoin(nodeapi.JoinRequest{ID: w.Control(4).ID(), IP: w.IP(4), DurableSlot: w.Control(4).WaitDurable()}); say.IsVoter {
 		t.Fatal("a vote given without a majority")
 	}
 }
@@ -130,8 +130,8 @@
 // One accepted by a single voter would prove nothing: its slot may go to the
 // change of voters.
 func TestLeavingWithTheOnlyCopy(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
-	w.Run(4, false, 3)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
+	w.StartNode(4, false, 3)
 	waitVersion(w, 3, 1, 2, 3, 4)
 	h := w.Control(3)
 	var stamp endpoints.Stamp
@@ -211,8 +211,8 @@
 // All leave at once: nobody waits for another without bound, and none hands its
 // place to one that leaves.
 func TestAllLeaveAtOnce(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
-	w.Run(4, false, 1)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
+	w.StartNode(4, false, 1)
 	w.Eventually("the fourth stands by", func() bool { return w.Control(4).State().Version == 3 })
 	before := w.Control(1).State().Slot
 	var all sync.WaitGroup
@@ -236,7 +236,7 @@
 	}
 	all.Wait()
 	for n := 1; n <= 3; n++ {
-		w.Run(n, false, 1, 2, 3)
+		w.StartNode(n, false, 1, 2, 3)
 	}
 	w.Eventually("it is read back", func() bool {
 		st, body := w.PutConfiguration(1, "GET", "", "")
@@ -247,16 +247,16 @@
 // A newcomer dies right after it was voted in; the one that stood by follows.
 // Then a disk is lost, twice.
 func TestNewcomerDies(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
 	w.Kill("3")
-	w.Run(4, false, 1)
+	w.StartNode(4, false, 1)
 	w.Eventually("the first has the place", func() bool { return w.IsVoter(1, 4) })
-	w.Run(5, false, 2)
+	w.StartNode(5, false, 2)
 	w.Wipe(4)
 	w.Eventually("the second follows", func() bool { return w.IsVoter(2, 5) })
 	for range 2 {
 		w.Wipe(2)
-		w.Run(2, false, 1)
+		w.StartNode(2, false, 1)
 	}
 	w.Eventually("the lost disk votes again", func() bool { return w.IsVoter(1, 2) })
 	w.Kill("1")
@@ -269,8 +269,8 @@
 // A newcomer that answers, but whose disk takes nothing, gets no vote; and a
 // change of voters is not done while their majority lacks it on disk.
 func TestVotesAreOnDiskFirst(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
-	w.Run(4, false, 1)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
+	w.StartNode(4, false, 1)
 	w.Eventually("the newcomer stands by", func() bool { return w.Control(4).State().Version == 3 })
 	h := w.Control(1)
 	s := h.State()
@@ -282,7 +282,7 @@
 	w.Eventually("the lost one's place is free", func() bool {
 		return len(h.MemberReport().Suspected) == 1 && len(w.Control(2).MemberReport().Suspected) == 1
 	})
-	if say := h.HandleJoin(nodeapi.JoinRequest{ID: w.Control(4).ID(), IP: w.IP(4), Slot: w.Control(4).WaitDurable()}); say.Votes || w.IsVoter(1, 4) || w.IsVoter(2, 4) {
+	if say := h.HandleJoin(nodeapi.JoinRequest{ID: w.Control(4).ID(), IP: w.IP(4), DurableSlot: w.Control(4).WaitDurable()}); say.IsVoter || w.IsVoter(1, 4) || w.IsVoter(2, 4) {
 		t.Fatal("a vote for one whose disk takes nothing")
 	}
 	w.Control(2).Store().Close(time.Second)
@@ -294,7 +294,7 @@
 // A value that one voter accepted from a proposer that is gone is brought to
 // an end, though nobody reads or orders anything.
 func TestBegunIsFinished(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
 	waitVersion(w, 3, 1, 2, 3)
 	h := w.Control(2)
 	body := testcluster.ConfigurationBody(9, "s1")
@@ -311,7 +311,7 @@
 // A member that leaves has decided what it alone accepted, without waiting for
 // its turn among the orders, and though nobody takes its place.
 func TestLeavingDecidesWhatItAccepted(t *testing.T) {
-	w := testcluster.ControlNodes(t, 1, 1, 2, 3)
+	w := testcluster.StartControlNodes(t, 1, 1, 2, 3)
 	waitVersion(w, 3, 1, 2, 3)
 	h, n, body := w.Control(3), w.Nodes["3"], testcluster.ConfigurationBody(9, "s1")
 	m := nodeapi.ConsensusRequest{Request: consensus.Request{Slot: h.State().Slot + 1, Ballot: consensus.Ballot{Round: 1 << 20, ProposerID: "gone"}, Value: &consensus.Value{Version: 9, BaseVersion: 3, Body: body, RequestFingerprint: "x"}}}
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -17,7 +17,7 @@
 // Past its caller's patience nothing is proposed for a call, though it gets
 // the lock of proposals at last.
 func TestNothingStartsPastThePatience(t *testing.T) {
-	w, h := testcluster.SingleControlNode(t)
+	w, h := testcluster.StartSingleControlNode(t)
 	before := h.State()
 	h.ProposalLock().Lock()
 	calls := 0
@@ -25,7 +25,7 @@
 	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutOrder, nodeapi.PathPurge: `{"Tag":"x"}`} {
 		calls++
 		go func() {
-			status, head := w.SendOrder(1, path, body, map[string]string{nodeapi.HeaderForwardedBy: "x", nodeapi.HeaderTimeLeft: "120"})
+			status, head := w.PostOrder(1, path, body, map[string]string{nodeapi.HeaderForwardedBy: "x", nodeapi.HeaderTimeLeft: "120"})
 			testcluster.CheckRetryAfter(t, head)
 			got <- status
 		}()
@@ -69,10 +69,10 @@
 }
 
 func TestLateCopyOfAnEarlierOrderStartsNothing(t *testing.T) {
-	w, h := testcluster.SingleControlNode(t)
+	w, h := testcluster.StartSingleControlNode(t)
 	order := func(target string) int {
 		t.Helper()
-		status, _ := w.SendOrder(1, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutOrder, "v2", target, 1), nil)
+		status, _ := w.PostOrder(1, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutOrder, "v2", target, 1), nil)
 		return status
 	}
 	last := func(want string, phase consensus.Phase) {
@@ -121,7 +121,7 @@
 func TestOrderAtANodeThatIsBehind(t *testing.T) {
 	w := testcluster.New(t)
 	for n := 1; n <= 3; n++ {
-		w.Run(n, true, 1, 2, 3)
+		w.StartNode(n, true, 1, 2, 3)
 	}
 	w.Eventually("the first configuration is acknowledged", func() bool {
 		status, _ := w.PutConfiguration(2, "PUT", "0", testcluster.ConfigurationBody(3, "s1"))
@@ -129,7 +129,7 @@
 	})
 	one, two := w.Nodes["1"].Control(), w.Nodes["2"].Control()
 	w.Eventually("the first order", func() bool {
-		status, _ := w.SendOrder(1, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+		status, _ := w.PostOrder(1, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
 		return status == 200
 	})
 	w.Eventually("both know it", func() bool { _, ok := two.State().Rollout("plain"); return ok })
@@ -137,7 +137,7 @@
 	settleOrder(t, one, consensus.PhaseRolledBack)
 	w.Eventually("the end is known", func() bool { r, _ := two.State().Rollout("plain"); return !r.Running() })
 	two.Loop().Call(func() { two.Acceptor().State = old })
-	if status, _ := w.SendOrder(2, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutOrder, "v2", "v3", 1), nil); status != 200 {
+	if status, _ := w.PostOrder(2, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutOrder, "v2", "v3", 1), nil); status != 200 {
 		t.Errorf("an order where the node took the last one for running: %d", status)
 	}
 	if r, _ := two.State().Rollout("plain"); r.TargetVersion != "v3" {
@@ -147,7 +147,7 @@
 
 // A change that lost says which version is current.
 func TestLostChangeNamesTheCurrentVersion(t *testing.T) {
-	w, h := testcluster.SingleControlNode(t)
+	w, h := testcluster.StartSingleControlNode(t)
 	for match, want := range map[string]string{"2": "3", "9": "3"} {
 		req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090%s", w.IP(1), nodeapi.PathConfiguration), strings.NewReader(testcluster.ConfigurationBody(11, "s1")))
 		req.Header.Set("If-Match", match)
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -51,7 +51,7 @@
 				events.Log(events.InvariantViolated, "pack", err)
 				panic(err)
 			}
-			m.Value, m.Packed = nodeapi.WithoutBody(v, packed), packed
+			m.Value, m.PackedBody = nodeapi.WithoutBody(v, packed), packed
 		}
 		type heard struct {
 			say consensus.Response
@@ -131,13 +131,13 @@
 			var say nodeapi.LearnResponse
 			addr := h.host.Settings().InternalAddress(ip)
 			err := h.host.Client.CallJSON(addr, nodeapi.PathLearn, nodeapi.LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.Heartbeats(1))
-			if err == nil && say.Slot < s.Slot {
-				say.Slot = h.sendState(ip, say.Slot, h.host.Heartbeats(1))
+			if err == nil && say.DurableSlot < s.Slot {
+				say.DurableSlot = h.sendState(ip, say.DurableSlot, h.host.Heartbeats(1))
 			}
-			if err == nil && say.Slot >= 0 {
-				h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, say.Slot) })
+			if err == nil && say.DurableSlot >= 0 {
+				h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, say.DurableSlot) })
 			}
-			if err != nil || say.Slot < s.Slot {
+			if err != nil || say.DurableSlot < s.Slot {
 				h.resendState(ip, s)
 			}
 		}()
@@ -164,7 +164,7 @@
 				var say nodeapi.PeekResponse
 				if v.IP == h.host.Settings().IpAddress {
 					h.loop.Call(func() {
-						say = nodeapi.PeekResponse{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Begun: h.acceptor.AcceptedValue != nil}
+						say = nodeapi.PeekResponse{AcceptorID: h.acceptor.ID, DecidedSlot: h.acceptor.State.Slot, HasAccepted: h.acceptor.AcceptedValue != nil}
 					})
 				} else if h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathPeek, struct{}{}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
@@ -176,12 +176,12 @@
 		known, begun, ahead := 0, false, false
 		for left := len(s.Voters); left > 0 && known < len(s.Voters)/2+1; left-- {
 			say := <-in
-			if say == nil || !s.IsVoter(say.ID) {
+			if say == nil || !s.IsVoter(say.AcceptorID) {
 				continue
 			}
 			known++
-			begun = begun || say.Begun && say.Slot == s.Slot
-			ahead = ahead || say.Slot > s.Slot
+			begun = begun || say.HasAccepted && say.DecidedSlot == s.Slot
+			ahead = ahead || say.DecidedSlot > s.Slot
 		}
 		if known >= len(s.Voters)/2+1 && known > 0 {
 			// Whatever froze this node since it asked, the answer rests on a
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -101,7 +101,7 @@
 	if h.rollouts.reporters[m.Name] == nil {
 		h.rollouts.reporters[m.Name] = &rollout.Teller{}
 	}
-	if !h.rollouts.reporters[m.Name].New(m.Life, m.Seq) {
+	if !h.rollouts.reporters[m.Name].New(m.Incarnation, m.Seq) {
 		return
 	}
 	m.Entries = slices.DeleteFunc(m.Entries, func(e rollout.Entry) bool { return !h.rolloutRunning(e.Order) })
@@ -110,8 +110,8 @@
 
 // onRolloutTotals takes all that another hut was told; it runs on the desk.
 func (h *Server) onRolloutTotals(m nodeapi.RolloutTotals) {
-	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.Now(), m.Behind}
-	h.evaluate(h.rollouts.totals.Merge(m.ID, m.Life, m.Seq, m.Entries))
+	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.Now(), m.FrontsBehind}
+	h.evaluate(h.rollouts.totals.Merge(m.ID, m.Incarnation, m.Seq, m.Entries))
 }
 
 // evaluate gives what is new to the judges; it runs on the desk.
@@ -205,7 +205,7 @@
 				to = ip
 			}
 		}
-		return nil, &nodeapi.RolloutTotals{ID: h.acceptor.ID, Life: h.incarnation, Seq: c.sequence, Entries: own, Behind: h.laggingFronts()}, to
+		return nil, &nodeapi.RolloutTotals{ID: h.acceptor.ID, Incarnation: h.incarnation, Seq: c.sequence, Entries: own, FrontsBehind: h.laggingFronts()}, to
 	}
 	h.evaluate(c.totals.Merge(h.acceptor.ID, h.incarnation, c.sequence, own))
 	lag := h.laggingFronts()
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestGoodVersionCompletesWhileAHutGoes(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	failed := w.StartTraffic()
 	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
 	if status, _ := w.Rollout(1); status != 404 {
 		t.Fatalf("never ordered: %d", status)
 	}
 	time.Sleep(600 * time.Millisecond)
-	if news[0].Ran()+news[1].Ran() > 0 {
+	if news[0].RunCount()+news[1].RunCount() > 0 {
 		t.Fatal("a version that nobody ordered was asked")
 	}
 	// An order by way of a front, and again at another node.
@@ -57,13 +57,13 @@
 	if _, r := w.Rollout(3); r.State != "completed" {
 		t.Fatalf("the settled order again starts something: %+v", r)
 	}
-	if st := w.Nodes["2"].Status(); len(st.Hut.Rollouts) != 1 || st.Hut.Rollouts[0].State != "completed" {
-		t.Errorf("status: %+v", st.Hut.Rollouts)
+	if st := w.Nodes["2"].Status(); len(st.Control.Rollouts) != 1 || st.Control.Rollouts[0].State != "completed" {
+		t.Errorf("status: %+v", st.Control.Rollouts)
 	}
 }
 
 func TestBadVersionIsRolledBackAndStaysSoAfterPowerLoss(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
 	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
 	for _, s := range news {
@@ -72,26 +72,26 @@
 	if status, body := w.StartRollout(3, "v2", 40); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
-	w.Eventually("it is asked", func() bool { return news[0].Ran()+news[1].Ran() > 0 })
+	w.Eventually("it is asked", func() bool { return news[0].RunCount()+news[1].RunCount() > 0 })
 	w.Eventually("rolled back", func() bool { _, r := w.Rollout(2); return r.State == "rolled_back" })
 	w.WaitPhaseAtFronts(consensus.PhaseRolledBack)
 	time.Sleep(300 * time.Millisecond)
-	asked := news[0].Ran() + news[1].Ran()
+	asked := news[0].RunCount() + news[1].RunCount()
 	time.Sleep(500 * time.Millisecond)
-	if now := news[0].Ran() + news[1].Ran(); now != asked {
+	if now := news[0].RunCount() + news[1].RunCount(); now != asked {
 		t.Fatalf("still asked after the roll back: %d, %d", asked, now)
 	}
 	for _, n := range []string{"1", "2", "3"} {
 		w.Kill(n)
 	}
 	for n := 1; n <= 3; n++ {
-		w.Run(n, false, 1, 2, 3)
+		w.StartNode(n, false, 1, 2, 3)
 	}
 	w.Eventually("the decision is there after the loss of power", func() bool { _, r := w.Rollout(1); return r.State == "rolled_back" && r.Why != "" })
 }
 
 func TestPowerLossMidRollout(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
 	w.AddSearcher("plain", "plain-c-new")
 	w.AddSearcher("plain", "plain-d-new")
@@ -104,7 +104,7 @@
 		w.Kill(n)
 	}
 	for n := 1; n <= 3; n++ {
-		w.Run(n, false, 1, 2, 3)
+		w.StartNode(n, false, 1, 2, 3)
 	}
 	w.Eventually("it still runs", func() bool {
 		status, r := w.Rollout(2)
@@ -119,7 +119,7 @@
 // The holder of the duty goes once the charts have spoken and before the log
 // has decided: whoever takes the duty over finds the same and decides it.
 func TestHolderGoesBetweenAlarmAndDecision(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
 	for _, id := range []string{"plain-c-new", "plain-d-new"} {
 		w.AddSearcher("plain", id).SetMode("500")
@@ -139,7 +139,7 @@
 		return bad
 	})
 	// On a slow machine the others may have thought the holder gone already.
-	if _, r := w.Rollout(2); r.State != "running" && w.Nodes["2"].Status().Hut.Holder == holder.Acceptor().ID {
+	if _, r := w.Rollout(2); r.State != "running" && w.Nodes["2"].Status().Control.Holder == holder.Acceptor().ID {
 		t.Fatalf("decided already: %+v", r)
 	}
 	w.Kill("1")
@@ -149,19 +149,19 @@
 // A front that starts in the middle of an order knows it before it is ready,
 // and keeps to its share.
 func TestFrontStartsMidRollout(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
 	if status, body := w.StartRollout(3, "v2", 400); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
 	w.Kill("11")
-	again := w.Run(11, false, 1, 2, 3)
+	again := w.StartNode(11, false, 1, 2, 3)
 	w.Eventually("it serves", func() bool { return again.Front().Ready() && again.Front().Listening() })
 	l := again.Front().Snapshot().Lanes["plain"]
 	if l == nil || l.From != "v1" || l.Target != "v2" || l.Phase != "canary" {
 		t.Fatalf("ready without the order: %+v", l)
 	}
-	asked := func() int { return news[0].Ran() + news[1].Ran() }
+	asked := func() int { return news[0].RunCount() + news[1].RunCount() }
 	w.Eventually("the new version is asked", func() bool { w.Request(11, "GET", "/p/x", ""); return asked() > 0 })
 	const n = 300
 	before := asked()
@@ -189,7 +189,7 @@
 }
 
 func TestOrdersRaceAndBadOnes(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	for body, want := range map[string]string{
 		"":                                     "not an order",
 		"[]":                                   "not an order",
@@ -231,21 +231,21 @@
 	w := testcluster.New(t)
 	w.ToleratedLosses = 2
 	for n := 1; n <= 4; n++ {
-		w.Run(n, true, 1, 2, 3)
+		w.StartNode(n, true, 1, 2, 3)
 	}
 	defer testcluster.Repeat(3, func(i int) { w.PutConfiguration(i+1, "PUT", "0", testcluster.ConfigurationBody(3, "s1")) })()
 	time.Sleep(100 * time.Millisecond)
-	node := w.Run(5, false, 1, 2, 3)
+	node := w.StartNode(5, false, 1, 2, 3)
 	w.Eventually("the fifth votes", func() bool { s := node.Control().State(); return s.IsVoter(node.Control().ID()) })
 }
 
 // Without a majority nothing is decided and the new version is left alone;
 // when it is back the order goes on to the right end.
 func TestCoreCutMidRollout(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	failed := w.StartTraffic()
 	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
-	asked := func() int { return news[0].Ran() + news[1].Ran() }
+	asked := func() int { return news[0].RunCount() + news[1].RunCount() }
 	if status, body := w.StartRollout(3, "v2", 60); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
@@ -261,8 +261,8 @@
 	if status, r := w.Rollout(1); status == 200 {
 		t.Errorf("one hut of three answers for the order: %+v", r)
 	}
-	w.Run(2, false, 1, 2, 3)
-	w.Run(3, false, 1, 2, 3)
+	w.StartNode(2, false, 1, 2, 3)
+	w.StartNode(3, false, 1, 2, 3)
 	w.Eventually("the right end", func() bool { _, r := w.Rollout(2); return r.State == "completed" })
 	if n := failed(); n > 0 {
 		t.Errorf("%d requests failed", n)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -317,7 +317,7 @@
 	case nodeapi.PathPeek:
 		var say nodeapi.PeekResponse
 		h.loop.Call(func() {
-			say = nodeapi.PeekResponse{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Begun: h.acceptor.AcceptedValue != nil}
+			say = nodeapi.PeekResponse{AcceptorID: h.acceptor.ID, DecidedSlot: h.acceptor.State.Slot, HasAccepted: h.acceptor.AcceptedValue != nil}
 		})
 		transport.WriteJSON(c, 200, say)
 	case nodeapi.PathHeartbeat:
@@ -327,7 +327,7 @@
 				h.onHeartbeat(m)
 				granted := h.grantRenewals(m)
 				m = h.heartbeat()
-				m.Granted = granted
+				m.GrantedRoles = granted
 			})
 			transport.WriteJSON(c, 200, m)
 		}
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -45,7 +45,7 @@
 			h.Acceptor().State.Rollouts = []consensus.Rollout{{OrderSlot: 1, Service: "plain", TargetVersion: "v2", Phase: consensus.PhaseCanary}}
 			send = h.RolloutTotals()
 		})
-		if send == nil || send.Life != life {
+		if send == nil || send.Incarnation != life {
 			t.Errorf("start %d: its ledger is %+v", life, send)
 		}
 		// The files as a kill would leave them.
--- a/internal/control/unreachable.go
+++ b/internal/control/unreachable.go
@@ -29,7 +29,7 @@
 // to tell; fresh is how long hearsay counts, and lasts how long it is told.
 func (g *unreachableTable) onReport(m nodeapi.UnreachableReport, need int, now, fresh, lasts time.Duration) bool {
 	news := false
-	for _, e := range m.Dark {
+	for _, e := range m.UnreachableOrdinals {
 		if g.reports[e] == nil {
 			if len(g.reports) >= 4096 {
 				continue
--- a/internal/control/unreachable_test.go
+++ b/internal/control/unreachable_test.go
@@ -16,7 +16,7 @@
 		t.Fatalf("%d of 50 fronts, %d of 2", need, requiredReporters(2))
 	}
 	say := func(name string, at time.Duration, dark ...int64) bool {
-		return g.onReport(nodeapi.UnreachableReport{Name: name, Dark: dark}, need, at, fresh, lasts)
+		return g.onReport(nodeapi.UnreachableReport{Name: name, UnreachableOrdinals: dark}, need, at, fresh, lasts)
 	}
 	for i := 0; i < 4; i++ {
 		if say("one", time.Duration(i)*100*time.Millisecond, 7, 8) {
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -45,7 +45,7 @@
 
 // handleWatch waits for news that the asker lacks, at most for a heartbeat.
 func (h *Server) handleWatch(m nodeapi.WatchRequest) nodeapi.WatchResponse {
-	hold := max(h.host.Heartbeats(0.2), min(h.host.LongPollTimeout(), time.Duration(m.HoldMs)*time.Millisecond))
+	hold := max(h.host.Heartbeats(0.2), min(h.host.LongPollTimeout(), time.Duration(m.MaxHoldMs)*time.Millisecond))
 	until := time.NewTimer(hold)
 	defer until.Stop()
 	for late := false; ; {
@@ -57,10 +57,10 @@
 			say, news = h.watchResponse(m)
 			changed = h.changed
 		})
-		if m.Hello {
+		if m.Locate {
 			return say
 		}
-		if news && m.Brief && !late {
+		if news && m.OmitTable && !late {
 			// Whoever is watched first brings it sooner; what follows goes along.
 			select {
 			case <-time.After(h.host.Heartbeats(0.1)):
@@ -84,41 +84,41 @@
 
 // onWatch notes a node that watches; it runs on the desk.
 func (h *Server) onWatch(m nodeapi.WatchRequest, until time.Duration) {
-	h.fronts[m.Name] = frontState{h.host.Now(), until + h.host.Heartbeats(1), m.Slot, m.IP, m.Zone, m.Ready, m.Out, m.First, m.Larder, m.Rolled}
+	h.fronts[m.Name] = frontState{h.host.Now(), until + h.host.Heartbeats(1), m.Slot, m.IP, m.Zone, m.Ready, m.UnreachableCount, m.Primary, m.IsCacheNode, m.RolloutSlot}
 }
 
 // watchResponse tells a watcher what it lacks; it runs on the desk.
 func (h *Server) watchResponse(m nodeapi.WatchRequest) (say nodeapi.WatchResponse, news bool) {
 	now := h.host.Now()
 	s := h.acceptor.State
-	say = nodeapi.WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, Fronts: h.countFronts(now), Purge: s.PurgeSeq, Floor: s.CompactedPurgeSeq()}
-	say.Around, say.Here = h.frontsAround(m.Zone)
-	say.Lone = h.lacksMajority(now)
-	if m.Roster || m.Hello || s.Slot > m.Slot {
+	say = nodeapi.WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, FrontCount: h.countFronts(now), PurgeSeq: s.PurgeSeq, CompactedPurgeSeq: s.CompactedPurgeSeq()}
+	say.FrontsInRegion, say.FrontsInZone = h.frontsAround(m.Zone)
+	say.LacksMajority = h.lacksMajority(now)
+	if m.WantRoster || m.Locate || s.Slot > m.Slot {
 		for _, v := range s.Voters {
-			say.Huts = append(say.Huts, nodeapi.ControlNode{IP: v.IP, Zone: h.zoneOf(v.IP)})
+			say.ControlNodes = append(say.ControlNodes, nodeapi.ControlNode{IP: v.IP, Zone: h.zoneOf(v.IP)})
 		}
-		say.Larders = s.CacheNodes
+		say.CacheNodes = s.CacheNodes
 	}
-	if m.Roster {
+	if m.WantRoster {
 		say.Roster = h.roster(now, m.Zone)
 	}
-	if say.RolledTo = s.Slot; !m.Hello && s.Slot > m.Rolled {
-		say.Rollouts = s.RolloutsAfter(m.Rolled)
+	if say.RolloutSlot = s.Slot; !m.Locate && s.Slot > m.RolloutSlot {
+		say.Rollouts = s.RolloutsAfter(m.RolloutSlot)
 		news = len(say.Rollouts) > 0
 	}
-	if m.Purge >= 0 {
-		say.Purges = s.PurgesAfter(m.Purge)
+	if m.PurgeSeq >= 0 {
+		say.Purges = s.PurgesAfter(m.PurgeSeq)
 	}
-	if say.Heard = h.unreachable.revision; m.First && !m.Hello && m.Heard != say.Heard {
-		say.Dark = h.unreachable.current(now, h.host.Heartbeats(2))
-		news = news || len(say.Dark) > 0
+	if say.UnreachableRevision = h.unreachable.revision; m.Primary && !m.Locate && m.UnreachableRevision != say.UnreachableRevision {
+		say.UnreachableOrdinals = h.unreachable.current(now, h.host.Heartbeats(2))
+		news = news || len(say.UnreachableOrdinals) > 0
 	}
 	if h.table != nil {
 		say.Stamp = h.table.Stamp
 		if m.Stamp.Before(h.table.Stamp) {
 			news = true
-			if !m.Brief && !m.Hello {
+			if !m.OmitTable && !m.Locate {
 				say.Delta = h.tableDelta(m.Stamp)
 			}
 		}
@@ -148,7 +148,7 @@
 		h.rosterRevision++
 	}
 	// Another life of this hut must not be taken for this one.
-	r.Roll = h.bootID + h.rosterRevision
+	r.Revision = h.bootID + h.rosterRevision
 	return r
 }
 
@@ -298,7 +298,7 @@
 				continue
 			}
 			if d, ok := config.Diff([]byte(b.Body), raw); ok {
-				p.response.From, p.response.Gone, raw = m.Version, d.Removed, d.Changes
+				p.response.BaseVersion, p.response.Removed, raw = m.Version, d.Removed, d.Changes
 			}
 		}
 		p.body = codec.Gzip(raw)
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -16,7 +16,7 @@
 // Hundreds of fronts ask one hut at the same moment, twice: each gets the whole
 // table, which is packed once for all, and is counted with its zone.
 func TestManyFrontsJoin(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	const fronts = 240
 	hut := w.Nodes["1"].Control()
 	to := w.Nodes["1"].Settings().InternalAddress(w.IP(1))
@@ -28,13 +28,13 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				ask := nodeapi.WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, Purge: -1, Zone: []string{"z1", "z2"}[i%2], First: true, HoldMs: 100, Hello: true}
+				ask := nodeapi.WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, PurgeSeq: -1, Zone: []string{"z1", "z2"}[i%2], Primary: true, MaxHoldMs: 100, Locate: true}
 				var say nodeapi.WatchResponse
-				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 3*time.Second); err != nil || len(say.Huts) != 3 || say.Delta != nil {
-					t.Errorf("hello: %v, %d huts", err, len(say.Huts))
+				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 3*time.Second); err != nil || len(say.ControlNodes) != 3 || say.Delta != nil {
+					t.Errorf("hello: %v, %d huts", err, len(say.ControlNodes))
 					return
 				}
-				ask.Hello = false
+				ask.Locate = false
 				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 3*time.Second); err != nil {
 					t.Errorf("watch: %v", err)
 					return
@@ -57,14 +57,14 @@
 	// What several of them tell of a searcher reaches another at once.
 	need := control.RequiredReporters(fronts/2 + 1)
 	for i := range need {
-		if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathUnreachable, nodeapi.UnreachableReport{Name: fmt.Sprint("many-", 2*i), Dark: []int64{tables[0].Endpoints[0].Ordinal}}, nil, time.Second); err != nil {
+		if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathUnreachable, nodeapi.UnreachableReport{Name: fmt.Sprint("many-", 2*i), UnreachableOrdinals: []int64{tables[0].Endpoints[0].Ordinal}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var say nodeapi.WatchResponse
-	ask := nodeapi.WatchRequest{Name: "many-1", Zone: "z2", First: true, HoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 2*time.Second); err != nil || len(say.Dark) != 1 || say.Dark[0] != tables[0].Endpoints[0].Ordinal {
-		t.Errorf("told of silent searchers: %v, %v", say.Dark, err)
+	ask := nodeapi.WatchRequest{Name: "many-1", Zone: "z2", Primary: true, MaxHoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
+	if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 2*time.Second); err != nil || len(say.UnreachableOrdinals) != 1 || say.UnreachableOrdinals[0] != tables[0].Endpoints[0].Ordinal {
+		t.Errorf("told of silent searchers: %v, %v", say.UnreachableOrdinals, err)
 	}
 	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
 	time.Sleep(hut.Host().Heartbeats(0.1))
@@ -89,7 +89,7 @@
 // The holder of the duty to read the list goes just when a searcher begins to
 // drain: the next one notices, in time.
 func TestDrainWhileHolderGoes(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	holder := ""
 	w.Eventually("somebody has the duty", func() bool {
 		for _, n := range []string{"1", "2", "3"} {
@@ -104,12 +104,12 @@
 	listed := time.Now()
 	bound := time.Duration(w.Settings(11, false, 1).Bounds.DrainMs) * time.Millisecond
 	w.Eventually("the fronts leave the searcher alone", func() bool {
-		before := s["plain-a"].Ran()
+		before := s["plain-a"].RunCount()
 		for i := 0; i < 6; i++ {
 			w.Request(11, "GET", "/p/x", "")
 			w.Request(12, "GET", "/p/x", "")
 		}
-		return s["plain-a"].Ran() == before
+		return s["plain-a"].RunCount() == before
 	})
 	if took := time.Since(listed); took > bound {
 		t.Errorf("it took %v, the bound is %v", took, bound)
--- a/internal/front/cache.go
+++ b/internal/front/cache.go
@@ -154,7 +154,7 @@
 }
 
 func (t *Server) fetchFrom(to consensus.CacheNode, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
-	a := nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, Purge: t.cacheHandler.Known(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(), AimMs: w.Aim.Milliseconds(), Again: w.Again}
+	a := nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, PurgeSeq: t.cacheHandler.Known(), TimeLeftMs: left.Milliseconds(), PollTimeoutMs: wait.Milliseconds(), TargetLatencyMs: w.Aim.Milliseconds(), IsRetry: w.Again}
 	began := t.host.Now()
 	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", nodeapi.PathCacheFetch, nil, codec.MustEncode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
 	if err != nil {
@@ -171,15 +171,15 @@
 // the copy's age is counted on.
 func fetchResult(w frontend.Want, s nodeapi.CacheFetchResponse, body []byte, began time.Duration) frontend.Brought {
 	switch {
-	case s.Passed:
+	case s.PassThrough:
 		return frontend.Brought{Passed: &cache.Passed{Status: s.Status, Fields: s.Fields, Body: body, Stamp: s.Stamp}}
 	case s.Status == 200:
 		return frontend.Brought{Copy: &cache.Copy{
 			Host: w.Host, Target: w.Target, Service: w.Service, Fields: s.Fields, Body: body, ETag: s.ETag, Stamp: s.Stamp, Tags: s.Tags,
-			Born: began - time.Duration(s.AgeMs)*time.Millisecond, Known: s.Known,
+			Born: began - time.Duration(s.AgeMs)*time.Millisecond, Known: s.PurgeSeq,
 		}}
 	}
-	return frontend.Brought{Status: s.Status, Back: time.Duration(s.BackMs) * time.Millisecond}
+	return frontend.Brought{Status: s.Status, Back: time.Duration(s.RetryAfterMs) * time.Millisecond}
 }
 
 // fetchSelf fetches where there is no larder.
@@ -190,12 +190,12 @@
 	}
 	began := t.host.Now()
 	left := w.Left.Milliseconds()
-	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, LeftMs: left, WaitMs: left, AimMs: w.Aim.Milliseconds(), Again: w.Again}, r.Lifetime, r.Sends)
+	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, TimeLeftMs: left, PollTimeoutMs: left, TargetLatencyMs: w.Aim.Milliseconds(), IsRetry: w.Again}, r.Lifetime, r.Sends)
 	switch s.Status {
 	case 202:
 		s.Status = 504
 	case nodeapi.StatusNoQuota:
-		s.Status, s.BackMs = 503, min(t.host.Heartbeats(0.5).Milliseconds(), left/4)
+		s.Status, s.RetryAfterMs = 503, min(t.host.Heartbeats(0.5).Milliseconds(), left/4)
 	}
 	return fetchResult(w, s, body, began)
 }
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -59,7 +59,7 @@
 
 // onRollouts takes what a hut tells of the orders; it runs on the desk.
 func (t *Server) onRollouts(say nodeapi.WatchResponse) {
-	if say.RolledTo <= t.progress.Load().rolloutSlot {
+	if say.RolloutSlot <= t.progress.Load().rolloutSlot {
 		return
 	}
 	now := t.host.Now()
@@ -75,7 +75,7 @@
 		}
 	}
 	first := t.progress.Load().rolloutSlot < 0
-	t.updateProgress(func(h *progress) { h.rolloutSlot = say.RolledTo })
+	t.updateProgress(func(h *progress) { h.rolloutSlot = say.RolloutSlot })
 	if first || len(say.Rollouts) > 0 {
 		t.applyTrafficSplits()
 		t.advanceLayouts()
@@ -206,7 +206,7 @@
 		if len(entries) == 0 {
 			continue
 		}
-		to, m := "", nodeapi.RolloutReport{Name: t.host.Settings().NodeName, Life: t.rollouts.incarnation, Entries: entries}
+		to, m := "", nodeapi.RolloutReport{Name: t.host.Settings().NodeName, Incarnation: t.rollouts.incarnation, Entries: entries}
 		t.loop.Call(func() {
 			t.evaluate(entries)
 			t.rollouts.sequence++
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -106,14 +106,14 @@
 	t.endpoints = upstream.New(upstream.Options{
 		Distance: n.Distance, UserTimeout: n.TCPUserTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.MaxMessageBytes(),
 		KeepIdle: config.Milliseconds(b.InTouchMs, 1), Settle: config.Milliseconds(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Milliseconds(b.InTouchMs, 0.2),
-		FarPenalty: opt.FarPenalty, Many: 5, Self: s.NodeName, Forget: config.Milliseconds(b.InTouchMs, 0.75),
+		FarPenalty: opt.RemoteZonePenalty, Many: 5, Self: s.NodeName, Forget: config.Milliseconds(b.InTouchMs, 0.75),
 	})
 	t.retryBudget = ratelimit.New(ratelimit.Rules{
-		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.BudgetKeep, Young: 0.3,
+		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.RetryBudgetUse, Young: 0.3,
 	}, n.Now())
-	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.Now, HedgeAt: opt.HedgeAt}
-	t.frontend = frontend.New(frontend.Options{Soft: opt.Soft, Hard: 0.97, Late: opt.Late, RetryIn: 0.25, WriteWithin: n.TCPUserTimeout(), Hold: n.Heartbeats(0.5), Crowd: opt.Crowd, Clock: t.clock, Deaf: n.MajorityTimeout()}, guide)
-	if opt.Saddle {
+	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.Now, HedgeAt: opt.HedgeAfter}
+	t.frontend = frontend.New(frontend.Options{Soft: opt.PartialAnswerAfter, Hard: 0.97, Late: opt.LateAnswerValue, RetryIn: 0.25, WriteWithin: n.TCPUserTimeout(), Hold: n.Heartbeats(0.5), Crowd: opt.OverloadFactor, Clock: t.clock, Deaf: n.MajorityTimeout()}, guide)
+	if opt.Relay {
 		t.relays = relay.NewChoice(n.Heartbeats(1))
 		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
 			err := n.Client.CallJSON(n.Settings().InternalAddress(ip), nodeapi.PathRelay, ask, say, within)
@@ -130,15 +130,15 @@
 	if memory <= 0 {
 		memory = 256 << 20
 	}
-	t.cacheHandler = frontend.NewPantry(int(memory*opt.Shelf), n.Now, t)
+	t.cacheHandler = frontend.NewPantry(int(memory*opt.FrontCacheRatio), n.Now, t)
 	t.frontend.SetPantry(t.cacheHandler)
 	if t.cacheNode {
-		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.LarderShelf))
+		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.CacheNodeRatio))
 	} else {
-		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.Shelf/4))
+		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.FrontCacheRatio/4))
 	}
 	t.layouts = shardmap.New(shardmap.Options{
-		R: opt.Slots, Least: 2, Lease: n.Heartbeats(opt.LeaseBeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.SwitchWait),
+		R: opt.MaxSlotHolders, Least: 2, Lease: n.Heartbeats(opt.SlotLeaseHeartbeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.LayoutSwitchWait),
 	})
 	t.progress.Store(&progress{slot: -1, purge: -1, rolloutSlot: -1})
 	t.endpoints.Full = func(id string) {
@@ -171,7 +171,7 @@
 	} else {
 		t.serveClients()
 		go t.serveReadiness()
-		if t.options.Hearsay {
+		if t.options.ShareUnreachable {
 			go t.reportUnreachableLoop()
 		}
 	}
@@ -246,9 +246,9 @@
 		}
 		h := t.progress.Load()
 		ask := nodeapi.WatchRequest{
-			Name: n.Settings().NodeName, IP: n.Settings().IpAddress, Slot: h.slot, Purge: h.purge, Rolled: h.rolloutSlot, Stamp: h.stamp, Brief: brief && !first,
-			Zone: n.Settings().Zone, Ready: t.ready.Load() && !n.Draining.Load(), Out: t.endpoints.Out(), HoldMs: hold.Milliseconds(),
-			First: first, Larder: t.cacheNode, Roster: first && t.rosterDue(), Hello: !t.locatedControl.Load(), Heard: t.unreachableRevision.Load(),
+			Name: n.Settings().NodeName, IP: n.Settings().IpAddress, Slot: h.slot, PurgeSeq: h.purge, RolloutSlot: h.rolloutSlot, Stamp: h.stamp, OmitTable: brief && !first,
+			Zone: n.Settings().Zone, Ready: t.ready.Load() && !n.Draining.Load(), UnreachableCount: t.endpoints.Out(), MaxHoldMs: hold.Milliseconds(),
+			Primary: first, IsCacheNode: t.cacheNode, WantRoster: first && t.rosterDue(), Locate: !t.locatedControl.Load(), UnreachableRevision: t.unreachableRevision.Load(),
 		}
 		var say nodeapi.WatchResponse
 		err := n.Client.CallJSON(n.Settings().InternalAddress(ip), nodeapi.PathWatch, ask, &say, hold+n.Heartbeats(0.8))
@@ -278,7 +278,7 @@
 			}
 		}
 		t.loop.Call(func() { t.onWatchResponse(ip, ask, say, d) })
-		if ask.Hello {
+		if ask.Locate {
 			if !t.locatedControl.Load() {
 				time.Sleep(n.Heartbeats(0.1))
 			}
@@ -327,11 +327,11 @@
 
 // onWatchResponse takes what a hut said; it runs on the desk.
 func (t *Server) onWatchResponse(ip string, ask nodeapi.WatchRequest, say nodeapi.WatchResponse, d *endpoints.Delta) {
-	if len(say.Huts) > 0 && say.Slot >= t.progress.Load().slot {
-		t.controlNodes = say.Huts
+	if len(say.ControlNodes) > 0 && say.Slot >= t.progress.Load().slot {
+		t.controlNodes = say.ControlNodes
 		t.locatedControl.Store(true)
 		t.pickWatchTargets()
-		for _, h := range say.Huts {
+		for _, h := range say.ControlNodes {
 			t.host.ViewLoop.Submit(func() {
 				t.host.View.Add(peersampling.Node{Name: "hut-" + h.IP, IP: h.IP, Zone: h.Zone, IsControl: true})
 			})
@@ -343,27 +343,27 @@
 			t.relays.Set(say.Roster, t.host.Settings().NodeName)
 		}
 	}
-	if len(say.Dark) > 0 && t.options.Hearsay {
-		t.endpoints.Tell(say.Dark, time.Now().Add(t.host.UnreachableTTL()))
+	if len(say.UnreachableOrdinals) > 0 && t.options.ShareUnreachable {
+		t.endpoints.Tell(say.UnreachableOrdinals, time.Now().Add(t.host.UnreachableTTL()))
 	}
 	if len(t.watchTargets) > 0 && t.watchTargets[0] == ip {
-		t.unreachableRevision.Store(say.Heard)
+		t.unreachableRevision.Store(say.UnreachableRevision)
 	}
-	if !say.Lone {
+	if !say.LacksMajority {
 		t.majorityHeardAt.Store(int64(t.host.Now()))
 	}
-	if say.Huts != nil && say.Slot >= t.progress.Load().slot {
-		t.setCacheNodes(say.Larders)
+	if say.ControlNodes != nil && say.Slot >= t.progress.Load().slot {
+		t.setCacheNodes(say.CacheNodes)
 	}
-	if h := t.progress.Load(); say.Purge > h.purge && (h.purge >= 0 || len(say.Huts) > 0) {
-		t.cacheHandler.Take(say.Purge, say.Floor, say.Purges)
-		t.updateProgress(func(h *progress) { h.purge = say.Purge })
+	if h := t.progress.Load(); say.PurgeSeq > h.purge && (h.purge >= 0 || len(say.ControlNodes) > 0) {
+		t.cacheHandler.Take(say.PurgeSeq, say.CompactedPurgeSeq, say.Purges)
+		t.updateProgress(func(h *progress) { h.purge = say.PurgeSeq })
 	}
-	if !ask.Hello {
+	if !ask.Locate {
 		t.onRollouts(say)
 	}
 	delete(t.unresponsiveUntil, ip)
-	t.frontCounts[ip] = upstream.Fronts{All: say.Fronts, Region: say.Around, Zone: say.Here}
+	t.frontCounts[ip] = upstream.Fronts{All: say.FrontCount, Region: say.FrontsInRegion, Zone: say.FrontsInZone}
 	most := upstream.Fronts{All: 1}
 	for _, c := range t.frontCounts {
 		most.All, most.Region, most.Zone = max(most.All, c.All), max(most.Region, c.Region), max(most.Zone, c.Zone)
@@ -430,11 +430,11 @@
 	}
 	// Large ones take a while to read: not on the desk.
 	c, err := t.unpackConfiguration(rep.Body)
-	if err == nil && say.From > 0 {
-		if have == nil || have.Version != say.From {
+	if err == nil && say.BaseVersion > 0 {
+		if have == nil || have.Version != say.BaseVersion {
 			return
 		}
-		c = have.ApplyDelta(c, say.Gone)
+		c = have.ApplyDelta(c, say.Removed)
 	}
 	if err != nil || c.Version != say.Version {
 		events.Log(events.MessageRejected, "from", ip, "version", say.Version, "err", err)
--- a/internal/front/unreachable.go
+++ b/internal/front/unreachable.go
@@ -25,7 +25,7 @@
 		if len(dark) == 0 || to == "" {
 			continue
 		}
-		_ = t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathUnreachable, nodeapi.UnreachableReport{Name: t.host.Settings().NodeName, Dark: dark}, nil, t.host.Heartbeats(0.5))
+		_ = t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathUnreachable, nodeapi.UnreachableReport{Name: t.host.Settings().NodeName, UnreachableOrdinals: dark}, nil, t.host.Heartbeats(0.5))
 		time.Sleep(t.host.Heartbeats(0.2))
 	}
 }
--- a/internal/node/cache_test.go
+++ b/internal/node/cache_test.go
@@ -35,7 +35,7 @@
 	origin.ServeObjects(1)
 	w.AddSearcher("s1", "s1-a")
 	for _, n := range []int{1, 2, 3, 11, 12, 21, 22} {
-		w.Run(n, true, 1, 2, 3)
+		w.StartNode(n, true, 1, 2, 3)
 	}
 	w.Eventually("the first configuration is acknowledged", func() bool {
 		status, _ := w.PutConfiguration(2, "PUT", "0", testcluster.ConfigurationBody(3, "s1"))
@@ -47,7 +47,7 @@
 				return false
 			}
 		}
-		return len(w.Nodes["11"].Front().CacheNodes()) == 2 && w.FrontReady(11) && w.FrontReady(12)
+		return len(w.Nodes["11"].Front().CacheNodes()) == 2 && w.IsFrontReady(11) && w.IsFrontReady(12)
 	})
 	// Many at once, at both fronts: one fetch.
 	var wg sync.WaitGroup
@@ -71,7 +71,7 @@
 		}()
 	}
 	wg.Wait()
-	if n := origin.Ran(); n != 1 {
+	if n := origin.RunCount(); n != 1 {
 		t.Fatalf("%d fetches for one object", n)
 	}
 	is := func(n int, path, want string) bool {
@@ -125,7 +125,7 @@
 		return ok && part == 1
 	})
 	// It comes back, and gets its part once the other has given it up.
-	w.Run(21, false, 1, 2, 3)
+	w.StartNode(21, false, 1, 2, 3)
 	w.Eventually("both have their part", func() bool {
 		a, ok1 := w.Nodes["21"].Front().QuotaShare()
 		b, ok2 := w.Nodes["22"].Front().QuotaShare()
@@ -143,13 +143,13 @@
 	}
 	// An answer that is broken or carries no stamp is not kept.
 	origin.SetMode("nostamp")
-	before := origin.Ran()
+	before := origin.RunCount()
 	if r, _, _ := w.Request(12, "GET", "/c/broken", ""); r.StatusCode < 300 {
 		t.Fatalf("an answer without a stamp was handed on: %d", r.StatusCode)
 	}
 	origin.SetMode("")
 	w.Eventually("it is fetched anew", func() bool { return is(12, "/c/broken", "/c/broken version 5") })
-	if origin.Ran() <= before+1 {
+	if origin.RunCount() <= before+1 {
 		t.Fatal("an answer without a stamp was kept")
 	}
 	// A change of named items: one whole version, known when it is sent again.
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestWholePath(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	r, body, id := w.Request(11, "GET", "/g/find?q=1", "")
 	stamps := strings.Split(r.Header.Get("Swiftswitch-Part-Stamps"), ", ")
 	if r.StatusCode != 200 || len(stamps) != 2 || !bytes.Equal(body, testcluster.TopRecords(7, "s1", "s2")) {
@@ -52,7 +52,7 @@
 		t.Fatalf("large header: %d", r.StatusCode)
 	}
 	// Raw requests whose end is in doubt reach nobody.
-	before := s["plain-a"].Ran() + s["plain-b"].Ran()
+	before := s["plain-a"].RunCount() + s["plain-b"].RunCount()
 	for _, raw := range []string{
 		"POST /p/x HTTP/1.1\r\nHost: a.example\r\nSwiftswitch-Request-Id: q1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /p/smuggled HTTP/1.1\r\nHost: a.example\r\nSwiftswitch-Request-Id: q2\r\n\r\n",
 		"POST /p/x HTTP/1.1\r\nHost: a.example\r\nSwiftswitch-Request-Id: q3\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
@@ -71,7 +71,7 @@
 			t.Errorf("%q got %q", raw, got)
 		}
 	}
-	if n := s["plain-a"].Ran() + s["plain-b"].Ran(); n != before {
+	if n := s["plain-a"].RunCount() + s["plain-b"].RunCount(); n != before {
 		t.Fatalf("%d doubtful requests ran", n-before)
 	}
 	// The operator's limits in time: half a header is cut off, an idle connection later.
@@ -95,7 +95,7 @@
 }
 
 func TestSearchersInTrouble(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	time.Sleep(2200 * time.Millisecond) // a node that just started has no slack
 	for _, mode := range []string{"500", "cut", "notrun", "slow", "nostamp", "surplus"} {
 		s["s1-a"].SetMode(mode)
@@ -117,9 +117,9 @@
 	s["plain-a"].SetMode("cut")
 	s["plain-b"].SetMode("cut")
 	for i := 0; i < 5; i++ {
-		before := s["plain-a"].Ran() + s["plain-b"].Ran()
+		before := s["plain-a"].RunCount() + s["plain-b"].RunCount()
 		r, _, _ := w.Request(11, "POST", "/u/x", "once")
-		if n := s["plain-a"].Ran() + s["plain-b"].Ran() - before; n > 1 || n == 1 && (r.StatusCode == 503 || r.StatusCode == 200) {
+		if n := s["plain-a"].RunCount() + s["plain-b"].RunCount() - before; n > 1 || n == 1 && (r.StatusCode == 503 || r.StatusCode == 200) {
 			t.Fatalf("ran %d times, status %d", n, r.StatusCode)
 		}
 	}
@@ -128,19 +128,19 @@
 	s["plain-b"].SetMode("")
 	w.SetSearcherState("plain-a", "draining")
 	time.Sleep(700 * time.Millisecond)
-	before := s["plain-a"].Ran()
+	before := s["plain-a"].RunCount()
 	for i := 0; i < 10; i++ {
 		if r, _, _ := w.Request(11, "GET", "/p/x", ""); r.StatusCode != 200 {
 			t.Fatalf("with one searcher draining: %d", r.StatusCode)
 		}
 	}
-	if s["plain-a"].Ran() != before {
+	if s["plain-a"].RunCount() != before {
 		t.Fatal("a draining searcher got requests")
 	}
 }
 
 func TestOperator(t *testing.T) {
-	w, _ := testcluster.Start(t)
+	w, _ := testcluster.StartDefault(t)
 	if st, body := w.PutConfiguration(3, "GET", "", ""); st != 200 || body != testcluster.ConfigurationBody(3, "s1", "s2") {
 		t.Fatalf("read back: %d %q", st, body)
 	}
@@ -202,7 +202,7 @@
 }
 
 func TestCutSwitch(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	for _, id := range []string{"n1-a", "n1-b", "n2-a", "n2-b", "n3-a"} {
 		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
 	}
@@ -226,11 +226,11 @@
 		}
 		return n == 2
 	})
-	before := s["s1-a"].Ran() + s["s1-b"].Ran()
+	before := s["s1-a"].RunCount() + s["s1-b"].RunCount()
 	for i := 0; i < 5; i++ {
 		w.Request(11, "GET", "/g/x", "")
 	}
-	if s["s1-a"].Ran()+s["s1-b"].Ran() != before {
+	if s["s1-a"].RunCount()+s["s1-b"].RunCount() != before {
 		t.Fatal("the old cut still gets queries")
 	}
 	// A shard that never has R searchers does not hold the switch up.
@@ -257,7 +257,7 @@
 	w.AddSearcher("plain", "plain-b")
 	w.AddSearcher("s1", "s1-a")
 	for _, n := range []int{1, 2, 3, 4, 5, 11} {
-		w.Run(n, true, 1, 2, 3)
+		w.StartNode(n, true, 1, 2, 3)
 	}
 	w.Eventually("the first configuration is acknowledged", func() bool {
 		status, _ := w.PutConfiguration(2, "PUT", "0", testcluster.ConfigurationBody(3, "s1"))
@@ -275,7 +275,7 @@
 	}
 	w.DataDirs["hut-1"], w.DataDirs["hut-4"] = t.TempDir(), t.TempDir()
 	for n := 1; n <= 5; n++ {
-		w.Run(n, false, 1, 2, 3)
+		w.StartNode(n, false, 1, 2, 3)
 	}
 	w.Eventually("what was acknowledged is read back", func() bool {
 		st, body := w.PutConfiguration(1, "GET", "", "")
@@ -306,16 +306,16 @@
 			w.RemoveSearcher("plain-a")
 		}
 		w.SetSearcherState("plain-a", state)
-		w.Run(holder, false, 1, 2, 3)
+		w.StartNode(holder, false, 1, 2, 3)
 		w.Eventually("a new epoch is taken", func() bool { return w.Nodes["3"].Control().Status().Epoch > before })
 		time.Sleep(800 * time.Millisecond) // DrainMs
-		ran := s.Ran()
+		ran := s.RunCount()
 		for k := 0; k < 6; k++ {
 			if r, _, _ := w.Request(11, "GET", "/p/x", ""); r.StatusCode != 200 {
 				t.Fatalf("with one searcher draining: %d", r.StatusCode)
 			}
 		}
-		if s.Ran() != ran {
+		if s.RunCount() != ran {
 			t.Fatal("a leaving went unnoticed")
 		}
 	}
@@ -323,7 +323,7 @@
 
 // Shards without a searcher near front 11 are gathered by front 12, where they are.
 func TestAcross(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	for _, id := range []string{"f1-far", "f2-far", "f3-far"} {
 		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
 	}
@@ -366,7 +366,7 @@
 }
 
 func TestReloadAndDrain(t *testing.T) {
-	w, s := testcluster.Start(t)
+	w, s := testcluster.StartDefault(t)
 	n := w.Nodes["11"]
 	// A changed settings file is taken, a bad one is not.
 	n.SetSettingsPath(t.TempDir() + "/boot.yaml")
@@ -407,7 +407,7 @@
 	done := make(chan time.Duration)
 	go func() { n.Drain(); done <- time.Since(begun) }()
 	time.Sleep(100 * time.Millisecond)
-	if w.FrontReady(11) {
+	if w.IsFrontReady(11) {
 		t.Fatal("a leaving front calls itself ready")
 	}
 	if e := <-got; e.status != 200 || !e.last {
--- a/internal/node/forward_cluster_test.go
+++ b/internal/node/forward_cluster_test.go
@@ -32,8 +32,8 @@
 	hold := make(chan struct{})
 	var hung, settled atomic.Int32
 	var left atomic.Value
-	w.ServeStandIn(9, func(http.ResponseWriter, *http.Request) { hung.Add(1); <-hold })
-	w.ServeStandIn(8, func(rw http.ResponseWriter, r *http.Request) {
+	w.ServeFakeNode(9, func(http.ResponseWriter, *http.Request) { hung.Add(1); <-hold })
+	w.ServeFakeNode(8, func(rw http.ResponseWriter, r *http.Request) {
 		settled.Add(1)
 		left.Store(r.Header.Get(nodeapi.HeaderTimeLeft))
 		rw.Header().Set("ETag", "7")
@@ -43,7 +43,7 @@
 	defer close(hold)
 	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutOrder))
 	at := time.Now()
-	status, h := w.SendOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+	status, h := w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
 	if took := time.Since(at); status != 412 || took > own {
 		t.Fatalf("the second node's answer: %d after %v of %v", status, took, own)
 	}
@@ -54,11 +54,11 @@
 		t.Errorf("it was told that %q ms of %v are left", left.Load(), own)
 	}
 	// The one that hangs is asked last from now on.
-	if status, _ := w.SendOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
+	if status, _ := w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
 		t.Errorf("%d; the one that hangs was asked %d times, the other %d", status, hung.Load(), settled.Load())
 	}
 	// What is left of the patience counts from the first node on.
-	if status, _ = w.SendOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, map[string]string{nodeapi.HeaderForwardedBy: "x"}); status != 503 {
+	if status, _ = w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, map[string]string{nodeapi.HeaderForwardedBy: "x"}); status != 503 {
 		t.Errorf("passed on twice: %d", status)
 	}
 }
@@ -69,11 +69,11 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	for _, n := range []int{8, 9} {
-		w.ServeStandIn(n, func(http.ResponseWriter, *http.Request) { <-hold })
+		w.ServeFakeNode(n, func(http.ResponseWriter, *http.Request) { <-hold })
 	}
 	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutOrder))
 	at := time.Now()
-	status, h := w.SendOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+	status, h := w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
 	if took := time.Since(at); status != 503 || took > own+own/2 {
 		t.Errorf("nobody answers: %d after %v, the patience is %v", status, took, own)
 	}
@@ -81,13 +81,13 @@
 }
 
 func TestOrderThatWaitedInAFrozenNode(t *testing.T) {
-	w, h := testcluster.SingleControlNode(t)
+	w, h := testcluster.StartSingleControlNode(t)
 	gap := w.Nodes["1"].PauseThreshold()
 	frozen := make(chan struct{})
 	go w.Nodes["1"].ViewLoop.Call(func() { close(frozen); time.Sleep(3 * gap) })
 	<-frozen
 	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutOrder, nodeapi.PathPurge: `{"Tag":"x"}`} {
-		status, head := w.SendOrder(1, path, body, nil)
+		status, head := w.PostOrder(1, path, body, nil)
 		if status != 503 {
 			t.Errorf("%s: an order that may be an old one: %d", path, status)
 		}
@@ -98,7 +98,7 @@
 	}
 	// A change bears its lateness, and later orders are taken.
 	w.Eventually("orders are taken again", func() bool {
-		status, _ := w.SendOrder(1, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+		status, _ := w.PostOrder(1, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
 		return status == 200
 	})
 	go w.Nodes["1"].ViewLoop.Call(func() { time.Sleep(2 * gap) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -241,24 +241,24 @@
 
 // Status is what `swiftswitch status` shows.
 type Status struct {
-	Node    string              `json:"Node"`
-	Zone    string              `json:"Zone"`
-	UpMs    int64               `json:"UpMs"`
-	Leaving bool                `json:"Leaving"`
-	View    []peersampling.Node `json:"View"`
-	Hut     *control.Status     `json:"Hut,omitempty"`
-	Trail   *front.Status       `json:"Trail,omitempty"`
+	Node     string              `json:"Node"`
+	Zone     string              `json:"Zone"`
+	UpMs     int64               `json:"UpMs"`
+	Draining bool                `json:"Leaving"`
+	View     []peersampling.Node `json:"View"`
+	Control  *control.Status     `json:"Hut,omitempty"`
+	Front    *front.Status       `json:"Trail,omitempty"`
 }
 
 // Status tells how the node is doing.
 func (n *Node) Status() Status {
-	st := Status{Node: n.Settings().NodeName, Zone: n.Settings().Zone, UpMs: n.Now().Milliseconds(), Leaving: n.Draining.Load()}
+	st := Status{Node: n.Settings().NodeName, Zone: n.Settings().Zone, UpMs: n.Now().Milliseconds(), Draining: n.Draining.Load()}
 	n.ViewLoop.Call(func() { st.View = n.View.Nodes() })
 	if n.control != nil {
-		st.Hut = n.control.Status()
+		st.Control = n.control.Status()
 	}
 	if n.front != nil {
-		st.Trail = n.front.Status()
+		st.Front = n.front.Status()
 	}
 	return st
 }
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -49,7 +49,7 @@
 	s.Mu.Unlock()
 }
 
-func (s *Searcher) Ran() int { s.Mu.Lock(); defer s.Mu.Unlock(); return len(s.Runs) }
+func (s *Searcher) RunCount() int { s.Mu.Lock(); defer s.Mu.Unlock(); return len(s.Runs) }
 
 // Records are the same for all searchers of a service.
 func Records(service string) []byte {
@@ -250,7 +250,7 @@
 	return s
 }
 
-func (w *Cluster) Run(n int, first bool, seeds ...int) *node.Node {
+func (w *Cluster) StartNode(n int, first bool, seeds ...int) *node.Node {
 	w.T.Helper()
 	opt := host.DefaultOptions()
 	// Orders get long terms, for slow machines, and are tried early in them.
@@ -395,15 +395,15 @@
 	return func() { close(stop); done.Wait() }
 }
 
-// Start runs three huts and two fronts over two shards and a plain service.
-func Start(t *testing.T) (*Cluster, map[string]*Searcher) {
+// StartDefault runs three huts and two fronts over two shards and a plain service.
+func StartDefault(t *testing.T) (*Cluster, map[string]*Searcher) {
 	w := New(t)
 	s := map[string]*Searcher{}
 	for _, id := range []string{"s1-a", "s1-b", "s2-a", "s2-b", "plain-a", "plain-b"} {
 		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
 	}
 	for _, n := range []int{1, 2, 3, 11, 12} {
-		w.Run(n, true, 1, 2, 3)
+		w.StartNode(n, true, 1, 2, 3)
 	}
 	w.Eventually("the first configuration is acknowledged", func() bool {
 		status, _ := w.PutConfiguration(2, "PUT", "0", ConfigurationBody(3, "s1", "s2"))
@@ -411,7 +411,7 @@
 	})
 	w.Eventually("the fronts are ready and know the searchers", func() bool {
 		for _, n := range []int{11, 12} {
-			if !w.FrontReady(n) {
+			if !w.IsFrontReady(n) {
 				return false
 			}
 			if r, _, _ := w.Request(n, "GET", "/g/x", ""); r.StatusCode != 200 || r.Header.Get("Swiftswitch-Missing-Parts") != "" {
@@ -426,7 +426,7 @@
 	return w, s
 }
 
-func (w *Cluster) FrontReady(n int) bool {
+func (w *Cluster) IsFrontReady(n int) bool {
 	resp, err := http.Get(fmt.Sprintf("http://%s:8081/-/ready", w.IP(n)))
 	if err != nil {
 		return false
@@ -435,13 +435,13 @@
 	return resp.StatusCode == 200
 }
 
-// ControlNodes runs three huts with a first configuration.
-func ControlNodes(t *testing.T, losses int, huts ...int) *Cluster {
+// StartControlNodes runs three huts with a first configuration.
+func StartControlNodes(t *testing.T, losses int, huts ...int) *Cluster {
 	w := New(t)
 	w.ToleratedLosses = losses
 	w.AddSearcher("plain", "plain-a")
 	for _, n := range huts {
-		w.Run(n, true, 1, 2, 3)
+		w.StartNode(n, true, 1, 2, 3)
 	}
 	w.Eventually("the first configuration is acknowledged", func() bool {
 		status, _ := w.PutConfiguration(2, "PUT", "0", ConfigurationBody(3, "s1"))
@@ -547,8 +547,8 @@
 // RolloutOrder orders a rollout of the plain service.
 const RolloutOrder = `{"Service":"plain","TargetVersion":"v2","DurationS":40}`
 
-// ServeStandIn stands in for a node that a call is passed on to.
-func (w *Cluster) ServeStandIn(n int, handle http.HandlerFunc) {
+// ServeFakeNode stands in for a node that a call is passed on to.
+func (w *Cluster) ServeFakeNode(n int, handle http.HandlerFunc) {
 	l, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", w.IP(n), w.Port))
 	if err != nil {
 		w.T.Fatal(err)
@@ -558,8 +558,8 @@
 	w.T.Cleanup(func() { _ = srv.Close() })
 }
 
-// SendOrder sends an order and tells the answer's headers too.
-func (w *Cluster) SendOrder(n int, path, body string, header map[string]string) (status int, h http.Header) {
+// PostOrder sends an order and tells the answer's headers too.
+func (w *Cluster) PostOrder(n int, path, body string, header map[string]string) (status int, h http.Header) {
 	w.T.Helper()
 	req, _ := http.NewRequest("POST", fmt.Sprintf("http://%s:%d%s", w.IP(n), w.Port, path), strings.NewReader(body))
 	for k, v := range header {
@@ -581,10 +581,10 @@
 	}
 }
 
-// SingleControlNode is a town of one hut with a configuration in force.
-func SingleControlNode(t *testing.T) (*Cluster, *control.Server) {
+// StartSingleControlNode is a town of one hut with a configuration in force.
+func StartSingleControlNode(t *testing.T) (*Cluster, *control.Server) {
 	w := New(t)
-	node := w.Run(1, true, 1)
+	node := w.StartNode(1, true, 1)
 	w.Eventually("the first configuration is acknowledged", func() bool {
 		status, _ := w.PutConfiguration(1, "PUT", "0", ConfigurationBody(3, "s1"))
 		return status == 200
