--- a/internal/cusum/barometer.go
+++ b/internal/cusum/barometer.go
@@ -12,23 +12,23 @@
 // Options are the free parts of a chart. The defaults are the source's: with
 // them an in-control process signals after 168 subgroups on average.
 type Options struct {
-	// K is the reference value: half of the shift, in standard errors, that
+	// ReferenceValue is the reference value: half of the shift, in standard errors, that
 	// is to be found soonest.
-	K float64
-	// Start, Rise, Knot and Fall shape the limit: Start + Rise x n up to a run
+	ReferenceValue float64
+	// InitialLimit, Rise, Knot and Fall shape the limit: Start + Rise x n up to a run
 	// of Knot subgroups, then Fall more for each further one.
-	Start, Rise float64
-	Knot        int
-	Fall        float64
+	InitialLimit, LimitRise float64
+	KneeRunLength           int
+	LimitFall               float64
 	// HeadStart begins both sums at half of Start instead of at zero.
 	HeadStart bool
-	// Shewhart, where it is above 0, also signals at a single subgroup that is so far out.
-	Shewhart float64
+	// ShewhartLimit, where it is above 0, also signals at a single subgroup that is so far out.
+	ShewhartLimit float64
 }
 
-// Defaults are the source's constants.
-func Defaults() Options {
-	return Options{K: 0.5, Start: 2.96, Rise: 0.3, Knot: 5, Fall: -0.1}
+// DefaultOptions are the source's constants.
+func DefaultOptions() Options {
+	return Options{ReferenceValue: 0.5, InitialLimit: 2.96, LimitRise: 0.3, KneeRunLength: 5, LimitFall: -0.1}
 }
 
 // Check tells which option is out of its range.
@@ -37,14 +37,14 @@
 		name           string
 		v, least, most float64
 	}{
-		{"chart-k", o.K, 0, 5}, {"chart-start", o.Start, 0.1, 100}, {"chart-rise", o.Rise, -5, 5},
-		{"chart-knot", float64(o.Knot), 0, 1000}, {"chart-fall", o.Fall, -5, 5}, {"chart-shewhart", o.Shewhart, 0, 100},
+		{"chart-k", o.ReferenceValue, 0, 5}, {"chart-start", o.InitialLimit, 0.1, 100}, {"chart-rise", o.LimitRise, -5, 5},
+		{"chart-knot", float64(o.KneeRunLength), 0, 1000}, {"chart-fall", o.LimitFall, -5, 5}, {"chart-shewhart", o.ShewhartLimit, 0, 100},
 	} {
 		if !(r.v >= r.least && r.v <= r.most) {
 			return fmt.Errorf("--%s is %v: it must be between %v and %v", r.name, r.v, r.least, r.most)
 		}
 	}
-	if o.Limit(max(1, o.Knot)) <= 0 {
+	if o.Limit(max(1, o.KneeRunLength)) <= 0 {
 		return errors.New("--chart-start, --chart-rise and --chart-knot give a limit that is not above 0")
 	}
 	return nil
@@ -52,7 +52,7 @@
 
 // Limit is A*(n), the limit for a sum that has been above zero for n subgroups.
 func (o Options) Limit(n int) float64 {
-	return max(0, o.Start+o.Rise*float64(min(n, o.Knot))+o.Fall*float64(max(0, n-o.Knot)))
+	return max(0, o.InitialLimit+o.LimitRise*float64(min(n, o.KneeRunLength))+o.LimitFall*float64(max(0, n-o.KneeRunLength)))
 }
 
 // Signal is what a subgroup brought.
@@ -82,16 +82,16 @@
 		return None
 	}
 	if !c.begun && o.HeadStart {
-		c.Up, c.Down = o.Start/2, o.Start/2
+		c.Up, c.Down = o.InitialLimit/2, o.InitialLimit/2
 	}
 	c.begun = true
-	c.Up, c.RunUp = add(c.Up, c.RunUp, z-o.K)
-	c.Down, c.RunDown = add(c.Down, c.RunDown, -z-o.K)
+	c.Up, c.RunUp = add(c.Up, c.RunUp, z-o.ReferenceValue)
+	c.Down, c.RunDown = add(c.Down, c.RunDown, -z-o.ReferenceValue)
 	switch {
-	case c.Up > o.Limit(c.RunUp) && c.RunUp > 0, o.Shewhart > 0 && z > o.Shewhart:
+	case c.Up > o.Limit(c.RunUp) && c.RunUp > 0, o.ShewhartLimit > 0 && z > o.ShewhartLimit:
 		c.Up, c.RunUp = 0, 0
 		return Above
-	case c.Down > o.Limit(c.RunDown) && c.RunDown > 0, o.Shewhart > 0 && -z > o.Shewhart:
+	case c.Down > o.Limit(c.RunDown) && c.RunDown > 0, o.ShewhartLimit > 0 && -z > o.ShewhartLimit:
 		c.Down, c.RunDown = 0, 0
 		return Below
 	}
--- a/internal/cusum/barometer_test.go
+++ b/internal/cusum/barometer_test.go
@@ -23,16 +23,16 @@
 
 // The source's tables 4.19 and 4.21, within 4 %.
 func TestAverageRunLengths(t *testing.T) {
-	cusum := Options{K: 0.5, Start: 4}
-	fir := Defaults()
+	cusum := Options{ReferenceValue: 0.5, InitialLimit: 4}
+	fir := DefaultOptions()
 	fir.HeadStart = true
 	for _, x := range []struct {
 		name        string
 		o           Options
 		shift, want float64
 	}{
-		{"in control", Defaults(), 0, 167.63}, {"half a sigma", Defaults(), 0.5, 25.89}, {"one sigma", Defaults(), 1, 8.49},
-		{"one sigma down", Defaults(), -1, 8.49}, {"three sigma", Defaults(), 3, 1.95}, {"cusum in control", cusum, 0, 168}, {"cusum, one sigma", cusum, 1, 8.38},
+		{"in control", DefaultOptions(), 0, 167.63}, {"half a sigma", DefaultOptions(), 0.5, 25.89}, {"one sigma", DefaultOptions(), 1, 8.49},
+		{"one sigma down", DefaultOptions(), -1, 8.49}, {"three sigma", DefaultOptions(), 3, 1.95}, {"cusum in control", cusum, 0, 168}, {"cusum, one sigma", cusum, 1, 8.38},
 		{"head start, one sigma", fir, 1, 6.02},
 	} {
 		if got := arl(x.o, x.shift, 20000); got < x.want*0.96 || got > x.want*1.04 {
@@ -44,7 +44,7 @@
 }
 
 func TestRestartsAndLimits(t *testing.T) {
-	o := Defaults()
+	o := DefaultOptions()
 	if o.Limit(0) != 2.96 || o.Limit(5) != 2.96+1.5 || o.Limit(6) >= o.Limit(5) || o.Limit(1000) != 0 {
 		t.Fatalf("limits %v %v %v %v", o.Limit(0), o.Limit(5), o.Limit(6), o.Limit(1000))
 	}
@@ -56,11 +56,11 @@
 	if c.Step(o, -9) != Below || c.Up != 0 || c.RunUp != 0 {
 		t.Fatalf("the upper sum is not clamped: %+v", c)
 	}
-	s := Options{K: 0.5, Start: 50, Shewhart: 3}
+	s := Options{ReferenceValue: 0.5, InitialLimit: 50, ShewhartLimit: 3}
 	if new(Chart).Step(s, 3.1) != Above || new(Chart).Step(s, 2.9) != None || new(Chart).Step(s, -3.1) != Below {
 		t.Fatal("the single subgroup far out")
 	}
-	for _, bad := range []Options{{K: -1, Start: 1}, {K: 0.5}, {K: 0.5, Start: 1, Rise: -1, Knot: 3}} {
+	for _, bad := range []Options{{ReferenceValue: -1, InitialLimit: 1}, {ReferenceValue: 0.5}, {ReferenceValue: 0.5, InitialLimit: 1, LimitRise: -1, KneeRunLength: 3}} {
 		if bad.Check() == nil {
 			t.Errorf("%+v passes", bad)
 		}
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -93,7 +93,7 @@
 	}
 	o, e := t.options.Rollout, t.host.RolloutExposure()
 	for service, r := range t.rollouts.orders {
-		l := &rollout.Lane{From: r.FromVersion, Target: r.TargetVersion, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: t.rollouts.trialUntil[r.OrderSlot], Halted: t.rollouts.halted[r.OrderSlot]}
+		l := &rollout.Lane{From: r.FromVersion, Target: r.TargetVersion, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.TrialShare, TrialUntil: t.rollouts.trialUntil[r.OrderSlot], Halted: t.rollouts.halted[r.OrderSlot]}
 		if l.From == "" && lanes[service] != nil {
 			l.From = lanes[service].From
 		}
--- a/internal/host/options.go
+++ b/internal/host/options.go
@@ -49,7 +49,7 @@
 
 // DefaultOptions are the defaults.
 func DefaultOptions() Options {
-	return Options{FrontCacheRatio: 0.1, CacheNodeRatio: 0.35, MaxSlotHolders: 6, LayoutSwitchWait: 0.4, SlotLeaseHeartbeats: 2, HedgeAfter: 0.5, PartialAnswerAfter: 0.89, LateAnswerValue: 0.35, RetryBudgetUse: 0.85, RemoteZonePenalty: 1, OverloadFactor: 2, Relay: true, ShareUnreachable: true, Rollout: rollout.Defaults()}
+	return Options{FrontCacheRatio: 0.1, CacheNodeRatio: 0.35, MaxSlotHolders: 6, LayoutSwitchWait: 0.4, SlotLeaseHeartbeats: 2, HedgeAfter: 0.5, PartialAnswerAfter: 0.89, LateAnswerValue: 0.35, RetryBudgetUse: 0.85, RemoteZonePenalty: 1, OverloadFactor: 2, Relay: true, ShareUnreachable: true, Rollout: rollout.DefaultOptions()}
 }
 
 // Check tells which option is out of its range, and what is allowed.
--- a/internal/rollout/belay_test.go
+++ b/internal/rollout/belay_test.go
@@ -27,7 +27,7 @@
 func (p play) run(t *testing.T, seed uint64) (phase consensus.Phase, at time.Duration, asked int) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	o, e := Defaults(), Exposure{Share: 0.1, Slack: 50}
+	o, e := DefaultOptions(), Exposure{Share: 0.1, Slack: 50}
 	r := consensus.Rollout{OrderSlot: 1, Service: "s", FromVersion: "v1", TargetVersion: "v2", DurationMs: 16000, Phase: consensus.PhaseCanary}
 	j := NewJudge(o, 16*time.Second, 0)
 	const tick = 180 * time.Millisecond
@@ -40,7 +40,7 @@
 			if rnd.Float64() < 0.3 {
 				route = "b"
 			}
-			lane := &Lane{From: "v1", Target: "v2", Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: since + time.Duration(r.TrialMs)*time.Millisecond}
+			lane := &Lane{From: "v1", Target: "v2", Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.TrialShare, TrialUntil: since + time.Duration(r.TrialMs)*time.Millisecond}
 			w := lane.Way(now, 0, time.Second, rnd.Float64())
 			isNew := w.Once == "v2" || w.Then == "v2"
 			who := rnd.IntN(4)
@@ -175,7 +175,7 @@
 // However fronts restart and whatever they know of each other, their shares
 // add up to no more than the share of the exposure.
 func TestSharesSumBelowTheBound(t *testing.T) {
-	o := Defaults()
+	o := DefaultOptions()
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 9))
 		e := Exposure{Share: 0.1, Slack: 50}
@@ -188,7 +188,7 @@
 		for range 300 {
 			learns := begins + time.Duration(rnd.Float64()*float64(400*time.Millisecond))
 			for at := time.Duration(0); at < term; at += time.Duration(rnd.ExpFloat64() * 300 / rate * float64(time.Second)) {
-				l := &Lane{From: "a", Target: "b", Phase: consensus.PhaseCanary, Share: o.CanaryShare(e), Trial: o.Trial, TrialUntil: learns + trial}
+				l := &Lane{From: "a", Target: "b", Phase: consensus.PhaseCanary, Share: o.CanaryShare(e), Trial: o.TrialShare, TrialUntil: learns + trial}
 				if at > learns {
 					l.Phase = consensus.PhaseTrial
 				}
@@ -260,7 +260,7 @@
 	} {
 		f := good
 		x.change(&f)
-		if got := Decide(f, Defaults(), Exposure{0.1, 50}); got.Phase != x.want {
+		if got := Decide(f, DefaultOptions(), Exposure{0.1, 50}); got.Phase != x.want {
 			t.Errorf("%s: %q", name, got.Phase)
 		}
 	}
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -56,7 +56,7 @@
 	}
 	switch phase {
 	case consensus.PhaseCanary:
-		if f.Spent < time.Duration(o.TrialAt*float64(term)) || 2*f.Ready < f.Old || f.Ready == 0 {
+		if f.Spent < time.Duration(o.TrialAfter*float64(term)) || 2*f.Ready < f.Old || f.Ready == 0 {
 			return Step{}
 		}
 		return Step{Phase: consensus.PhaseTrial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
@@ -81,14 +81,14 @@
 // the canary brings over the whole term keep within the exposure that is used.
 func (o Options) trialFor(f Facts, term time.Duration, e Exposure) time.Duration {
 	rate := max(f.Rate, 0.01)
-	whole := o.Keep * (e.Share*rate*term.Seconds() + e.Slack)
+	whole := o.MaxExposureUse * (e.Share*rate*term.Seconds() + e.Slack)
 	canary := o.CanaryShare(e) * rate * term.Seconds()
-	s := (whole - canary) / (rate * o.Trial)
+	s := (whole - canary) / (rate * o.TrialShare)
 	return time.Duration(math.Max(0, math.Min(s, 0.15*term.Seconds())) * float64(time.Second))
 }
 
 // CanaryShare is the share of the requests that goes to the new version at first.
-func (o Options) CanaryShare(e Exposure) float64 { return o.Canary * e.Share }
+func (o Options) CanaryShare(e Exposure) float64 { return o.CanaryRatio * e.Share }
 
 // Clock keeps how much of each order's term is over. It goes by steady time;
 // over a restart it takes whichever is more, what was last noted or what the
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -13,43 +13,43 @@
 type Options struct {
 	// Chart holds the constants of the charts.
 	Chart cusum.Options
-	// Subgroup is how many tries of the new version are averaged at least.
-	Subgroup int
-	// Failures and Latency turn the metrics on.
-	Failures, Latency bool
-	// Slower is by how much longer than the old version the new one's answers
+	// SubgroupSize is how many tries of the new version are averaged at least.
+	SubgroupSize int
+	// ChartFailures and Latency turn the metrics on.
+	ChartFailures, ChartLatency bool
+	// MaxLatencyRatio is by how much longer than the old version the new one's answers
 	// may take, and Worse the share of failures that it may have more.
-	Slower, Worse float64
-	// Canary is the part of ExposureShare that is used; Trial the share of the
+	MaxLatencyRatio, MaxExtraFailures float64
+	// CanaryRatio is the part of ExposureShare that is used; Trial the share of the
 	// requests that goes to the new version in the trial; Keep the part of the
 	// whole exposure that canary and trial may use up.
-	Canary, Trial, Keep float64
-	// TrialAt, a part of the term, is when the trial may begin.
-	TrialAt float64
+	CanaryRatio, TrialShare, MaxExposureUse float64
+	// TrialAfter, a part of the term, is when the trial may begin.
+	TrialAfter float64
 }
 
-// Defaults are the project's defaults.
-func Defaults() Options {
+// DefaultOptions are the project's defaults.
+func DefaultOptions() Options {
 	return Options{
-		Chart: cusum.Defaults(), Subgroup: 4, Failures: true, Latency: true, Slower: 1.5, Worse: 0.05,
-		Canary: 0.5, Trial: 0.9, Keep: 0.75, TrialAt: 0.6,
+		Chart: cusum.DefaultOptions(), SubgroupSize: 4, ChartFailures: true, ChartLatency: true, MaxLatencyRatio: 1.5, MaxExtraFailures: 0.05,
+		CanaryRatio: 0.5, TrialShare: 0.9, MaxExposureUse: 0.75, TrialAfter: 0.6,
 	}
 }
 
 // Check tells which option is out of its range.
 func (o Options) Check() error {
-	if o.Subgroup < 1 || o.Subgroup > 1000 {
-		return fmt.Errorf("--chart-subgroup is %d: it must be between 1 and 1000", o.Subgroup)
+	if o.SubgroupSize < 1 || o.SubgroupSize > 1000 {
+		return fmt.Errorf("--chart-subgroup is %d: it must be between 1 and 1000", o.SubgroupSize)
 	}
-	if !o.Failures && !o.Latency {
+	if !o.ChartFailures && !o.ChartLatency {
 		return fmt.Errorf("--chart-failures and --chart-latency are both off: a version would be judged by nothing")
 	}
 	for _, r := range []struct {
 		name           string
 		v, least, most float64
 	}{
-		{"rollout-slower", o.Slower, 1, 100}, {"rollout-worse", o.Worse, 0, 1}, {"rollout-canary", o.Canary, 0.01, 0.9},
-		{"rollout-trial", o.Trial, 0.1, 1}, {"rollout-keep", o.Keep, 0.1, 0.95}, {"rollout-trial-at", o.TrialAt, 0.1, 0.8},
+		{"rollout-slower", o.MaxLatencyRatio, 1, 100}, {"rollout-worse", o.MaxExtraFailures, 0, 1}, {"rollout-canary", o.CanaryRatio, 0.01, 0.9},
+		{"rollout-trial", o.TrialShare, 0.1, 1}, {"rollout-keep", o.MaxExposureUse, 0.1, 0.95}, {"rollout-trial-at", o.TrialAfter, 0.1, 0.8},
 	} {
 		if !(r.v >= r.least && r.v <= r.most) {
 			return fmt.Errorf("--%s is %v: it must be between %v and %v", r.name, r.v, r.least, r.most)
@@ -145,10 +145,10 @@
 			j.Old += e.Sum.N
 		}
 		for _, route := range []string{e.Route, ""} {
-			if j.opt.Failures {
+			if j.opt.ChartFailures {
 				j.line(stream{metricFailures, route}).add(e)
 			}
-			if j.opt.Latency {
+			if j.opt.ChartLatency {
 				j.line(stream{metricLatency, route}).add(e)
 			}
 		}
@@ -275,7 +275,7 @@
 	for _, s := range l.fresh {
 		n, bad = n+s.N, bad+s.Bad
 	}
-	if n < int64(o.Subgroup) {
+	if n < int64(o.SubgroupSize) {
 		return 0, false
 	}
 	var old weighed
@@ -287,7 +287,7 @@
 		old = old.plus(b)
 	}
 	defer l.end()
-	p := min(0.9, max(floorFailures, old.bad/max(old.n, 1))+o.Worse)
+	p := min(0.9, max(floorFailures, old.bad/max(old.n, 1))+o.MaxExtraFailures)
 	for at, s := range l.fresh {
 		x := l.who[at.who]
 		l.who[at.who] = whoSeen{x.n + float64(s.N), x.excess + float64(s.Bad) - p*float64(s.N), x.variance + p*(1-p)*float64(s.N)}
@@ -306,11 +306,11 @@
 	for _, s := range l.fresh {
 		n += s.Timed
 	}
-	if n < int64(o.Subgroup) {
+	if n < int64(o.SubgroupSize) {
 		return 0, false
 	}
 	defer l.end()
-	allowed := math.Log(o.Slower)
+	allowed := math.Log(o.MaxLatencyRatio)
 	if loaded {
 		allowed *= 2
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -254,7 +254,7 @@
 	w.T.Helper()
 	opt := host.DefaultOptions()
 	// Orders get long terms, for slow machines, and are tried early in them.
-	opt.Rollout.TrialAt = 0.1
+	opt.Rollout.TrialAfter = 0.1
 	if n > 20 {
 		opt.Role = host.RoleCache
 	}
