--- a/internal/control/lease_test.go
+++ b/internal/control/lease_test.go
@@ -13,7 +13,7 @@
 func TestPollerCutOff(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	one, two, three := w.Nodes["1"].Control(), w.Nodes["2"].Control(), w.Nodes["3"].Control()
-	w.Eventually("the first has the duty", func() bool { return one.Status().Polling })
+	w.Eventually("the first has the duty", func() bool { return one.Status().HoldsLease })
 	before := one.Status()
 	if before.LeaseAgeMs <= 0 {
 		t.Error("the holder does not know how old its lease is")
@@ -26,10 +26,10 @@
 	both := 0
 	w.Eventually("the majority goes on", func() bool {
 		st := two.Status()
-		if st.Polling && one.Status().Polling {
+		if st.HoldsLease && one.Status().HoldsLease {
 			both++
 		}
-		return st.Polling && st.Epoch > before.Epoch && st.Holder == st.ID
+		return st.HoldsLease && st.LeaseEpoch > before.LeaseEpoch && st.LeaseHolder == st.ID
 	})
 	w.Eventually("the fronts leave the searcher alone", func() bool {
 		ran := s["plain-a"].RunCount()
@@ -41,15 +41,15 @@
 	})
 	// The list lags and calls it ready once more. Several leases go by.
 	w.SetSearcherState("plain-a", "ready")
-	alone := one.Status().Table
+	alone := one.Status().TableStamp
 	for end := time.Now().Add(6 * one.Host().Heartbeats(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		st := one.Status()
-		if st.Polling || st.Epoch != before.Epoch || st.Table != alone {
-			t.Fatalf("the one cut off has epoch %d (it had %d), polls: %v, table %v", st.Epoch, before.Epoch, st.Polling, st.Table)
+		if st.HoldsLease || st.LeaseEpoch != before.LeaseEpoch || st.TableStamp != alone {
+			t.Fatalf("the one cut off has epoch %d (it had %d), polls: %v, table %v", st.LeaseEpoch, before.LeaseEpoch, st.HoldsLease, st.TableStamp)
 		}
 	}
 	one.Loop().Call(func() {
-		if records, _ := one.Voter().Records(); records[control.PollerRole].Epoch != before.Epoch {
+		if records, _ := one.Voter().Records(); records[control.PollerRole].Epoch != before.LeaseEpoch {
 			t.Errorf("it granted itself epoch %d", records[control.PollerRole].Epoch)
 		}
 	})
@@ -64,17 +64,17 @@
 			t.Errorf("%s by the one cut off: %d after %v: %s", call.method, status, took, text)
 		}
 	}
-	if st := one.Status(); !st.Lone || st.MajorityAgeMs < one.Host().Heartbeats(2).Milliseconds() || two.Status().Lone {
-		t.Errorf("the one cut off shows lone %v, a majority %d ms ago; another %v", st.Lone, st.MajorityAgeMs, two.Status().Lone)
+	if st := one.Status(); !st.Isolated || st.MajorityAgeMs < one.Host().Heartbeats(2).Milliseconds() || two.Status().Isolated {
+		t.Errorf("the one cut off shows lone %v, a majority %d ms ago; another %v", st.Isolated, st.MajorityAgeMs, two.Status().Isolated)
 	}
-	other := two.Status().Epoch
+	other := two.Status().LeaseEpoch
 	w.UseInternalPort(w.Port, "1", "2", "3", "11", "12")
 	w.Eventually("the healed one has the duty again, above the others' epoch", func() bool {
 		st := one.Status()
-		if st.Polling && two.Status().Polling {
+		if st.HoldsLease && two.Status().HoldsLease {
 			both++
 		}
-		return st.Polling && st.Epoch > other
+		return st.HoldsLease && st.LeaseEpoch > other
 	})
 	if both > 0 {
 		t.Errorf("seen to poll both: %d times", both)
@@ -82,10 +82,10 @@
 	w.SetSearcherState("s1-a", "draining") // a change, so that there is a table of that epoch
 	w.Eventually("it shows that it is in touch again, and what it remembers", func() bool {
 		st := one.Status()
-		return !st.Lone && st.MajorityAgeMs < one.Host().Heartbeats(1).Milliseconds() && st.Kept == st.Slot && st.BehindBy == 0 && st.Life == 1 && st.Resends == 1 && st.Changes == 1
+		return !st.Isolated && st.MajorityAgeMs < one.Host().Heartbeats(1).Milliseconds() && st.DurableSlot == st.Slot && st.BehindBy == 0 && st.Incarnation == 1 && st.RememberedChanges == 1 && st.AppliedChanges == 1
 	})
 	w.Eventually("all have its table", func() bool {
-		a, b, c := one.Status().Table, two.Status().Table, three.Status().Table
+		a, b, c := one.Status().TableStamp, two.Status().TableStamp, three.Status().TableStamp
 		return a.Epoch > other && a == b && b == c
 	})
 	one.Loop().Call(func() {
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("%d %s", st, body)
 	}
 	time.Sleep(w.Control(1).ReplacementTimeout())
-	if s := w.Control(2).State(); w.Control(3).Status().Polling || !s.IsVoter(w.Control(1).ID()) || !s.IsVoter(w.Control(4).ID()) || len(s.Voters) != 3 {
+	if s := w.Control(2).State(); w.Control(3).Status().HoldsLease || !s.IsVoter(w.Control(1).ID()) || !s.IsVoter(w.Control(4).ID()) || len(s.Voters) != 3 {
 		t.Fatalf("it has a place or a duty: %v", s.Voters)
 	}
 }
--- a/internal/control/purge.go
+++ b/internal/control/purge.go
@@ -187,7 +187,7 @@
 			}
 			for ip, r := range h.peerRosters {
 				for _, f := range r.Fronts {
-					if f.Keeps && f.IP == l.IP {
+					if f.CacheNode && f.IP == l.IP {
 						at = max(at, h.peers[ip].heardAt)
 					}
 				}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -23,14 +23,14 @@
 // rolloutController is a hut's table of rollouts; it belongs to the hut's desk.
 type rolloutController struct {
 	clock      *rollout.Clock
-	totals     *rollout.Ledger
+	totals     *rollout.Aggregator
 	evaluators map[int64]*rollout.Judge
 	// phaseKnownAt is when this life of the node learned an order's present phase.
 	phaseKnownAt map[int64]knownPhase
 	// orderKnownAt is when this life of the node learned the slots of orders.
 	orderKnownAt map[int64]time.Duration
 	// reporters is the last tally of each front.
-	reporters map[string]*rollout.Teller
+	reporters map[string]*rollout.ReportFilter
 	// laggingReports is how many fronts lag behind a phase, as other huts told.
 	laggingReports map[string]laggingReport
 	sequence       int64
@@ -49,8 +49,8 @@
 
 func newRolloutController(n rollout.Noted, now time.Duration) rolloutController {
 	return rolloutController{
-		clock: rollout.NewClock(n, time.Now(), now), totals: rollout.NewLedger(), evaluators: map[int64]*rollout.Judge{},
-		phaseKnownAt: map[int64]knownPhase{}, orderKnownAt: map[int64]time.Duration{}, reporters: map[string]*rollout.Teller{}, laggingReports: map[string]laggingReport{},
+		clock: rollout.NewClock(n, time.Now(), now), totals: rollout.NewAggregator(), evaluators: map[int64]*rollout.Judge{},
+		phaseKnownAt: map[int64]knownPhase{}, orderKnownAt: map[int64]time.Duration{}, reporters: map[string]*rollout.ReportFilter{}, laggingReports: map[string]laggingReport{},
 	}
 }
 
@@ -99,9 +99,9 @@
 // onRolloutReport takes what a front saw; it runs on the desk.
 func (h *Server) onRolloutReport(m nodeapi.RolloutReport) {
 	if h.rollouts.reporters[m.Name] == nil {
-		h.rollouts.reporters[m.Name] = &rollout.Teller{}
+		h.rollouts.reporters[m.Name] = &rollout.ReportFilter{}
 	}
-	if !h.rollouts.reporters[m.Name].New(m.Incarnation, m.Seq) {
+	if !h.rollouts.reporters[m.Name].Accept(m.Incarnation, m.Seq) {
 		return
 	}
 	m.Entries = slices.DeleteFunc(m.Entries, func(e rollout.Entry) bool { return !h.rolloutRunning(e.Order) })
@@ -186,7 +186,7 @@
 	running := slices.DeleteFunc(slices.Clone(h.acceptor.State.Rollouts), func(r consensus.Rollout) bool { return !r.Running() })
 	if len(running) == 0 {
 		if len(c.evaluators)+len(c.reporters) > 0 {
-			c.totals.Forget(h.rolloutRunning)
+			c.totals.Retain(h.rolloutRunning)
 			clear(c.evaluators)
 			clear(c.reporters)
 			clear(c.laggingReports)
@@ -197,8 +197,8 @@
 		h.persistTerms(now)
 	}
 	c.sequence++
-	c.totals.Forget(h.rolloutRunning)
-	own := c.totals.Own()
+	c.totals.Retain(h.rolloutRunning)
+	own := c.totals.OwnTotals()
 	if !h.pollLease.Holds(now) {
 		for ip, o := range h.peers {
 			if o.id == h.pollLease.ObservedHolder {
@@ -287,12 +287,12 @@
 	FromVersion   string          `json:"FromVersion,omitempty"`
 	Phase         consensus.Phase `json:"Phase"`
 	DurationS     float64         `json:"DurationS"`
-	// LeftS is how much of the term is left, where the order runs.
-	LeftS float64 `json:"LeftS,omitempty"`
-	// Asked of all tries Of that were seen went to the new version.
-	Asked int64  `json:"Asked,omitempty"`
-	Of    int64  `json:"Of,omitempty"`
-	Why   string `json:"Why,omitempty"`
+	// RemainingS is how much of the term is left, where the order runs.
+	RemainingS float64 `json:"LeftS,omitempty"`
+	// TargetAttempts of all tries Of that were seen went to the new version.
+	TargetAttempts int64  `json:"Asked,omitempty"`
+	TotalAttempts  int64  `json:"Of,omitempty"`
+	Reason         string `json:"Why,omitempty"`
 }
 
 // duplicateOrderWindow is for how long, of AcknowledgeMs, a copy of an earlier order is
@@ -424,9 +424,9 @@
 	out := []RolloutStatus{}
 	h.loop.Call(func() {
 		for _, r := range slices.Backward(s.Rollouts) {
-			x := RolloutStatus{Service: r.Service, State: r.Status(), TargetVersion: r.TargetVersion, FromVersion: r.FromVersion, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, Asked: r.TargetAttempts, Of: r.TotalAttempts, Why: r.Reason}
+			x := RolloutStatus{Service: r.Service, State: r.Status(), TargetVersion: r.TargetVersion, FromVersion: r.FromVersion, Phase: r.Phase, DurationS: float64(r.DurationMs) / 1000, TargetAttempts: r.TargetAttempts, TotalAttempts: r.TotalAttempts, Reason: r.Reason}
 			if r.Running() {
-				x.LeftS = max(0, x.DurationS-h.rollouts.clock.Spent(r.OrderSlot, h.host.Now()).Seconds())
+				x.RemainingS = max(0, x.DurationS-h.rollouts.clock.Spent(r.OrderSlot, h.host.Now()).Seconds())
 			}
 			out = append(out, x)
 		}
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -30,7 +30,7 @@
 	if status, _ := w.StartRollout(3, "v3", 40); status != 409 {
 		t.Fatalf("another order: %d", status)
 	}
-	if status, r := w.Rollout(12); status != 200 || r.State != "running" || r.TargetVersion != "v2" || r.LeftS <= 0 || r.LeftS > 40 {
+	if status, r := w.Rollout(12); status != 200 || r.State != "running" || r.TargetVersion != "v2" || r.RemainingS <= 0 || r.RemainingS > 40 {
 		t.Fatalf("it runs: %d %+v", status, r)
 	}
 	w.Kill("1") // the first in the order has the duty
@@ -87,7 +87,7 @@
 	for n := 1; n <= 3; n++ {
 		w.StartNode(n, false, 1, 2, 3)
 	}
-	w.Eventually("the decision is there after the loss of power", func() bool { _, r := w.Rollout(1); return r.State == "rolled_back" && r.Why != "" })
+	w.Eventually("the decision is there after the loss of power", func() bool { _, r := w.Rollout(1); return r.State == "rolled_back" && r.Reason != "" })
 }
 
 func TestPowerLossMidRollout(t *testing.T) {
@@ -108,8 +108,8 @@
 	}
 	w.Eventually("it still runs", func() bool {
 		status, r := w.Rollout(2)
-		if status == 200 && r.LeftS > before.LeftS {
-			t.Fatalf("more time is left than before: %v, %v", before.LeftS, r.LeftS)
+		if status == 200 && r.RemainingS > before.RemainingS {
+			t.Fatalf("more time is left than before: %v, %v", before.RemainingS, r.RemainingS)
 		}
 		return status == 200
 	})
@@ -139,7 +139,7 @@
 		return bad
 	})
 	// On a slow machine the others may have thought the holder gone already.
-	if _, r := w.Rollout(2); r.State != "running" && w.Nodes["2"].Status().Control.Holder == holder.Acceptor().ID {
+	if _, r := w.Rollout(2); r.State != "running" && w.Nodes["2"].Status().Control.LeaseHolder == holder.Acceptor().ID {
 		t.Fatalf("decided already: %+v", r)
 	}
 	w.Kill("1")
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -139,7 +139,7 @@
 	r := nodeapi.FrontRoster{}
 	for name, f := range h.fronts {
 		if f.primary && now < f.overdueAt {
-			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, Out: !f.ready, Keeps: f.cacheNode})
+			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, NotReady: !f.ready, CacheNode: f.cacheNode})
 		}
 	}
 	slices.SortFunc(r.Fronts, func(a, b relay.Front) int { return strings.Compare(a.Name, b.Name) })
@@ -180,7 +180,7 @@
 	out := []relay.Front{}
 	for _, i := range rand.Perm(len(all)) {
 		f := all[i]
-		if !f.Out && !f.Keeps && f.Zone != but && !seen[f.Name] && count[f.Zone] < maxRosterPerZone {
+		if !f.NotReady && !f.CacheNode && f.Zone != but && !seen[f.Name] && count[f.Zone] < maxRosterPerZone {
 			count[f.Zone]++
 			seen[f.Name] = true
 			out = append(out, f)
@@ -224,7 +224,7 @@
 	}
 	for ip, r := range h.peerRosters {
 		for _, f := range r.Fronts {
-			if f.Keeps {
+			if f.CacheNode {
 				continue
 			}
 			if at := h.peers[ip].heardAt; at > h.knownFronts[f.Name].heardAt {
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -93,7 +93,7 @@
 	holder := ""
 	w.Eventually("somebody has the duty", func() bool {
 		for _, n := range []string{"1", "2", "3"} {
-			if w.Nodes[n].Control().Status().Polling {
+			if w.Nodes[n].Control().Status().HoldsLease {
 				holder = n
 			}
 		}
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -31,7 +31,7 @@
 	halted     map[int64]bool
 	// observed are the services with a rollout under way.
 	observed    atomic.Pointer[map[string]observedRollout]
-	recorder    rollout.Tally
+	recorder    rollout.Recorder
 	evaluators  map[int64]*rollout.Judge
 	incarnation int64
 	sequence    int64
@@ -169,7 +169,7 @@
 		}
 	}
 	if s, ok := attemptSample(o, r.Aim); ok {
-		t.rollouts.recorder.Note(c, s)
+		t.rollouts.recorder.Record(c, s)
 	}
 }
 
@@ -202,7 +202,7 @@
 		if ws := t.rollouts.observed.Load(); ws == nil || len(*ws) == 0 {
 			continue
 		}
-		entries := t.rollouts.recorder.Take()
+		entries := t.rollouts.recorder.Drain()
 		if len(entries) == 0 {
 			continue
 		}
@@ -218,7 +218,7 @@
 		if to == "" || t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathRolloutReport, m, nil, t.host.Heartbeats(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range entries {
-				t.rollouts.recorder.Note(e.Cell, e.Sum)
+				t.rollouts.recorder.Record(e.Cell, e.Sum)
 			}
 		}
 	}
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -291,14 +291,14 @@
 		holder := 0
 		w.Eventually("somebody polls", func() bool {
 			for n := 1; n <= 5; n++ {
-				if h := w.Nodes[fmt.Sprint(n)].Control(); h.Status().Polling {
+				if h := w.Nodes[fmt.Sprint(n)].Control(); h.Status().HoldsLease {
 					holder = n
 					return true
 				}
 			}
 			return false
 		})
-		before := w.Nodes[fmt.Sprint(holder)].Control().Status().Epoch
+		before := w.Nodes[fmt.Sprint(holder)].Control().Status().LeaseEpoch
 		w.Kill(fmt.Sprint(holder))
 		state := "draining"
 		if i%2 == 1 {
@@ -307,7 +307,7 @@
 		}
 		w.SetSearcherState("plain-a", state)
 		w.StartNode(holder, false, 1, 2, 3)
-		w.Eventually("a new epoch is taken", func() bool { return w.Nodes["3"].Control().Status().Epoch > before })
+		w.Eventually("a new epoch is taken", func() bool { return w.Nodes["3"].Control().Status().LeaseEpoch > before })
 		time.Sleep(800 * time.Millisecond) // DrainMs
 		ran := s.RunCount()
 		for k := 0; k < 6; k++ {
--- a/internal/relay/saddle.go
+++ b/internal/relay/saddle.go
@@ -30,10 +30,10 @@
 	Name string `json:"Name"`
 	IP   string `json:"IP"`
 	Zone string `json:"Zone"`
-	// Out: it is not ready to help.
-	Out bool `json:"Out,omitempty"`
-	// Keeps: it is no front, it keeps copies.
-	Keeps bool `json:"Keeps,omitempty"`
+	// NotReady: it is not ready to help.
+	NotReady bool `json:"Out,omitempty"`
+	// CacheNode: it is no front, it keeps copies.
+	CacheNode bool `json:"Keeps,omitempty"`
 }
 
 // Choice picks fronts, leaving out those that failed lately.
--- a/internal/rollout/belay_test.go
+++ b/internal/rollout/belay_test.go
@@ -287,7 +287,7 @@
 }
 
 func TestLedgerMerges(t *testing.T) {
-	l := NewLedger()
+	l := NewAggregator()
 	e := func(n, bad int64) []Entry { return []Entry{{Cell{Order: 1, Route: "a"}, Sum{N: n, Bad: bad}}} }
 	sum := func(l []Entry) string {
 		s := Sum{}
@@ -310,11 +310,11 @@
 	}
 	l.Add(e(3, 0))
 	l.Add(e(4, 1))
-	if sum(l.Own()) != "7 / 1" {
-		t.Errorf("own: %s", sum(l.Own()))
+	if sum(l.OwnTotals()) != "7 / 1" {
+		t.Errorf("own: %s", sum(l.OwnTotals()))
 	}
-	l.Forget(func(int64) bool { return false })
-	if len(l.Own()) != 0 {
+	l.Retain(func(int64) bool { return false })
+	if len(l.OwnTotals()) != 0 {
 		t.Error("what belongs to a settled order is kept")
 	}
 }
@@ -322,12 +322,12 @@
 // A front that was restarted is heard whatever its clock says, and what its
 // earlier lives sent late is not.
 func TestTellersLives(t *testing.T) {
-	var l Teller
+	var l ReportFilter
 	for i, x := range []struct {
 		life, seq int64
 		want      bool
 	}{{900, 1, true}, {900, 2, true}, {900, 2, false}, {900, 1, false}, {300, 1, true}, {900, 3, false}, {300, 1, false}, {300, 2, true}, {-5, 1, true}, {300, 3, false}, {900, 4, false}} {
-		if got := l.New(x.life, x.seq); got != x.want {
+		if got := l.Accept(x.life, x.seq); got != x.want {
 			t.Fatalf("word %d (life %d, %d): %v", i, x.life, x.seq, got)
 		}
 	}
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -60,29 +60,29 @@
 	Sum Sum `json:"S"`
 }
 
-// cellsMost bounds how many cells are held for all orders together.
-const cellsMost = 4096
+// maxCells bounds how many cells are held for all orders together.
+const maxCells = 4096
 
-// Tally collects what this node sees. It may be used from any goroutine.
-type Tally struct {
+// Recorder collects what this node sees. It may be used from any goroutine.
+type Recorder struct {
 	mu    sync.Mutex
 	cells map[Cell]Sum
 }
 
-// Note counts one try.
-func (t *Tally) Note(c Cell, s Sum) {
+// Record counts one try.
+func (t *Recorder) Record(c Cell, s Sum) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cells == nil {
 		t.cells = map[Cell]Sum{}
 	}
-	if old, ok := t.cells[c]; ok || len(t.cells) < cellsMost {
+	if old, ok := t.cells[c]; ok || len(t.cells) < maxCells {
 		t.cells[c] = old.Plus(s)
 	}
 }
 
-// Take gives what was counted since the last call.
-func (t *Tally) Take() (out []Entry) {
+// Drain gives what was counted since the last call.
+func (t *Recorder) Drain() (out []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c, s := range t.cells {
@@ -92,32 +92,34 @@
 	return out
 }
 
-// Ledger merges what many nodes tell: sums that only grow, by source, where a
+// Aggregator merges what many nodes tell: sums that only grow, by source, where a
 // later one stands for the earlier. It has one owner.
-type Ledger struct {
-	from map[string]heard
+type Aggregator struct {
+	from map[string]sourceTotals
 	own  map[Cell]Sum
 }
 
-type heard struct {
+type sourceTotals struct {
 	life, seq int64
 	cells     map[Cell]Sum
 }
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger { return &Ledger{from: map[string]heard{}, own: map[Cell]Sum{}} }
+// NewAggregator makes an empty ledger.
+func NewAggregator() *Aggregator {
+	return &Aggregator{from: map[string]sourceTotals{}, own: map[Cell]Sum{}}
+}
 
 // Add counts what this node was told by the fronts that report to it.
-func (l *Ledger) Add(entries []Entry) {
+func (l *Aggregator) Add(entries []Entry) {
 	for _, e := range entries {
-		if old, ok := l.own[e.Cell]; ok || len(l.own) < cellsMost {
+		if old, ok := l.own[e.Cell]; ok || len(l.own) < maxCells {
 			l.own[e.Cell] = old.Plus(e.Sum)
 		}
 	}
 }
 
-// Own lists what this node was told so far.
-func (l *Ledger) Own() (out []Entry) {
+// OwnTotals lists what this node was told so far.
+func (l *Aggregator) OwnTotals() (out []Entry) {
 	for c, s := range l.own {
 		out = append(out, Entry{c, s})
 	}
@@ -126,7 +128,7 @@
 
 // Merge takes all that a source has counted in its life, and gives what was
 // not known of it. What came late or twice brings nothing.
-func (l *Ledger) Merge(source string, life, seq int64, entries []Entry) (news []Entry) {
+func (l *Aggregator) Merge(source string, life, seq int64, entries []Entry) (news []Entry) {
 	old := l.from[source]
 	if old.life == life && seq <= old.seq || life < old.life {
 		return nil
@@ -134,7 +136,7 @@
 	if old.life != life {
 		old.cells = nil
 	}
-	now := heard{life, seq, map[Cell]Sum{}}
+	now := sourceTotals{life, seq, map[Cell]Sum{}}
 	for _, e := range entries {
 		now.cells[e.Cell] = e.Sum
 		if d := e.Sum.Minus(old.cells[e.Cell]); d.N > 0 {
@@ -145,19 +147,19 @@
 	return news
 }
 
-// Teller knows a source's new words from those that come late or twice. The
+// ReportFilter knows a source's new words from those that come late or twice. The
 // source has no disk, and the time of day may jump: its lives have names, and
 // no order but that in which they were heard.
-type Teller struct {
+type ReportFilter struct {
 	life, seq int64
 	past      []int64
 }
 
-// livesKept is how many lives back a late word is known as one.
-const livesKept = 8
+// maxPastIncarnations is how many lives back a late word is known as one.
+const maxPastIncarnations = 8
 
-// New takes a word and tells whether it is one.
-func (t *Teller) New(life, seq int64) bool {
+// Accept takes a word and tells whether it is one.
+func (t *ReportFilter) Accept(life, seq int64) bool {
 	switch {
 	case life == t.life:
 		if seq <= t.seq {
@@ -167,15 +169,15 @@
 		return false
 	default:
 		t.past = append(t.past, t.life)
-		t.past = t.past[max(0, len(t.past)-livesKept):]
+		t.past = t.past[max(0, len(t.past)-maxPastIncarnations):]
 		t.life = life
 	}
 	t.seq = seq
 	return true
 }
 
-// Forget drops what belongs to orders that no longer run.
-func (l *Ledger) Forget(runs func(order int64) bool) {
+// Retain drops what belongs to orders that no longer run.
+func (l *Aggregator) Retain(runs func(order int64) bool) {
 	for c := range l.own {
 		if !runs(c.Order) {
 			delete(l.own, c)
