--- a/cmd/swiftswitch/main.go
+++ b/cmd/swiftswitch/main.go
@@ -162,9 +162,14 @@
 	return os.ReadFile(name)
 }
 
+// maxResponseBytes is the size of the largest response that the commands read.
+const maxResponseBytes = 64 << 20
+
 // callNode sends one of the operator's calls; only 200 is a success.
 func callNode(node, method, path string, hd map[string]string, body []byte, within time.Duration) (transport.Response, error) {
-	rep, err := transport.NewClient(1, within, within, 64<<20).Do(node, method, path, hd, body, within)
+	rep, err := transport.NewClient(transport.ClientOptions{
+		MaxIdlePerNode: 1, IdleTimeout: within, TCPUserTimeout: within, MaxBodyBytes: maxResponseBytes,
+	}).Do(node, method, path, hd, body, within)
 	if err != nil {
 		return rep, exit{exitRemote, fmt.Errorf("%s can't be reached: %w; try another node", node, err)}
 	}
@@ -317,28 +322,25 @@
 }
 
 func eventsCmd() *cobra.Command {
-	var md bool
+	var markdown bool
 	c := &cobra.Command{Use: "events [NUMBER]", Short: "Explain the numbered events of the log", Args: cobra.MaximumNArgs(1), RunE: func(_ *cobra.Command, a []string) error {
-		if md {
-			fmt.Print("# Events\n\nPrinted by `swiftswitch events --markdown`.\n\n| number | name | level | meaning |\n|---|---|---|---|\n")
-		}
-		found := false
-		for _, e := range events.Catalogue {
-			if len(a) > 0 && a[0] != strconv.Itoa(int(e.Event)) && a[0] != "E"+strconv.Itoa(int(e.Event)) {
-				continue
-			}
-			found = true
-			if md {
-				fmt.Printf("| E%d | %s | %s | %s |\n", e.Event, e.Name, e.Level, e.Description)
-			} else {
-				fmt.Printf("E%d %-18s %-5s %s\n", e.Event, e.Name, e.Level, e.Description)
+		entries := events.Catalogue
+		if len(a) > 0 {
+			entries = slices.DeleteFunc(slices.Clone(entries), func(e events.Entry) bool {
+				return "E"+strings.TrimPrefix(a[0], "E") != e.Event.String()
+			})
+			if len(entries) == 0 {
+				return exit{exitUsage, fmt.Errorf("there is no event %s", a[0])}
 			}
 		}
-		if !found {
-			return exit{exitUsage, fmt.Errorf("there is no event %s", a[0])}
+		if markdown {
+			return events.WriteMarkdown(os.Stdout, entries)
+		}
+		for _, e := range entries {
+			fmt.Printf("%v %-25s %-5s %s\n", e.Event, e.Name, e.Level, e.Description)
 		}
 		return nil
 	}}
-	c.Flags().BoolVar(&md, "markdown", false, "print the catalogue as docs/events.md has it")
+	c.Flags().BoolVar(&markdown, "markdown", false, "print the catalogue as docs/events.md has it")
 	return c
 }
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -44,7 +44,7 @@
 	if string(c.Request.Header.Method()) == "GET" {
 		h.answerRead(c, until, func(s consensus.State) {
 			if s.Version == 0 {
-				transport.WriteJSON(c, 404, map[string]string{"Error": "there is no configuration yet"})
+				transport.WriteError(c, 404, "there is no configuration yet")
 				return
 			}
 			c.SetStatusCode(200)
@@ -75,7 +75,7 @@
 	case 412:
 		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
 	}
-	transport.WriteJSON(c, status, map[string]string{"Error": text.why})
+	transport.WriteError(c, status, text.why)
 }
 
 // changeResult is how a change ended: version is its own, or the current one where it lost.
--- a/internal/control/poller.go
+++ b/internal/control/poller.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"net/url"
 	"swiftswitch/internal/nodeapi"
 	"time"
@@ -144,8 +143,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if rep.Status != 200 {
-			return nil, fmt.Errorf("status %d", rep.Status)
+		if err := rep.Err(); err != nil {
+			return nil, err
 		}
 		var p DiscoveryPage
 		if err := json.Unmarshal(rep.Body, &p); err != nil {
--- a/internal/control/purge.go
+++ b/internal/control/purge.go
@@ -31,12 +31,12 @@
 // dropped and fetched once more, and nothing older comes of it.
 func (h *Server) HandlePurge(c *app.RequestContext, until time.Time) {
 	if len(c.Request.Body()) > MaxPurgeBytes {
-		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.WriteError(c, 413, "the order is too large")
 		return
 	}
 	o, err := config.ParsePurgeRequest(c.Request.Body())
 	if err != nil {
-		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
+		transport.WriteError(c, 400, err.Error())
 		return
 	}
 	w := &pendingPurge{purge: consensus.Purge{ID: host.RandomID(), Host: o.HostName, Path: o.Path, Tag: o.Tag}, until: until, done: make(chan bool, 1)}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -306,13 +306,13 @@
 		return
 	}
 	if len(c.Request.Body()) > maxRolloutBytes {
-		transport.WriteJSON(c, 413, map[string]string{"Error": "the order is too large"})
+		transport.WriteError(c, 413, "the order is too large")
 		return
 	}
 	o, err := config.ParseRolloutRequest(c.Request.Body())
 	if err != nil {
 		events.Log(events.RolloutRejected, "why", err)
-		transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
+		transport.WriteError(c, 400, err.Error())
 		return
 	}
 	status, why := h.decideOrder(consensus.Rollout{Service: o.Service, TargetVersion: o.TargetVersion, DurationMs: int64(max(1, o.DurationS*1000))}, until)
@@ -328,7 +328,7 @@
 	case 503:
 		h.host.WriteUnavailable(c, why)
 	default:
-		transport.WriteJSON(c, status, map[string]string{"Error": why})
+		transport.WriteError(c, status, why)
 	}
 }
 
@@ -415,7 +415,7 @@
 				return
 			}
 		}
-		transport.WriteJSON(c, 404, map[string]string{"Error": "no rollout was ever ordered for this service"})
+		transport.WriteError(c, 404, "no rollout was ever ordered for this service")
 	})
 }
 
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -285,7 +285,7 @@
 		var m nodeapi.ConsensusRequest
 		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleConsensus(m); err != nil {
-				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
+				transport.WriteError(c, 503, err.Error())
 			} else {
 				transport.WriteJSON(c, 200, say)
 			}
@@ -339,7 +339,7 @@
 		d, err := nodeapi.UnpackTableDelta(m.Delta, h.host.MaxMessageBytes())
 		if err != nil {
 			events.Log(events.MessageRejected, "path", nodeapi.PathTable, "from", c.RemoteAddr(), "err", err)
-			transport.WriteJSON(c, 400, map[string]string{"Error": err.Error()})
+			transport.WriteError(c, 400, err.Error())
 			return true
 		}
 		var say nodeapi.TableResponse
@@ -360,7 +360,7 @@
 		var m nodeapi.LeaseRequest
 		if transport.ReadJSON(c, &m) {
 			if say, err := h.handleLeaseRequest(m); err != nil {
-				transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
+				transport.WriteError(c, 503, err.Error())
 			} else {
 				transport.WriteJSON(c, 200, say)
 			}
@@ -379,7 +379,7 @@
 		if h.handleCacheJoin(l) {
 			transport.WriteJSON(c, 200, struct{}{})
 		} else {
-			transport.WriteJSON(c, 503, map[string]string{"Error": "not agreed"})
+			transport.WriteError(c, 503, "not agreed")
 		}
 	case nodeapi.PathRolloutReport:
 		var m nodeapi.RolloutReport
@@ -401,7 +401,7 @@
 		transport.WriteJSON(c, 200, h.memberReport())
 	case nodeapi.PathPersist:
 		if held, err := h.persistAndReport(); err != nil {
-			transport.WriteJSON(c, 503, map[string]string{"Error": err.Error()})
+			transport.WriteError(c, 503, err.Error())
 		} else {
 			transport.WriteJSON(c, 200, held)
 		}
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if raw, _ := c.Get(records.KeyIncarnation); string(raw) != strconv.FormatInt(life, 10) {
+		if raw := c.Get(records.KeyIncarnation); string(raw) != strconv.FormatInt(life, 10) {
 			t.Errorf("start %d: %q is on disk", life, raw)
 		}
 		c.Close(time.Second)
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -116,12 +116,12 @@
 |---|---|---|---|
 `
 
-// WriteMarkdown writes the catalogue as docs/events.md has it.
-func WriteMarkdown(w io.Writer) error {
+// WriteMarkdown writes entries as docs/events.md has the whole catalogue.
+func WriteMarkdown(w io.Writer, entries []Entry) error {
 	if _, err := io.WriteString(w, markdownHead); err != nil {
 		return err
 	}
-	for _, entry := range Catalogue {
+	for _, entry := range entries {
 		_, err := fmt.Fprintf(w, "| %v | %s | %s | %s |\n", entry.Event, entry.Name, entry.Level, entry.Description)
 		if err != nil {
 			return err
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	var printed bytes.Buffer
-	if err := WriteMarkdown(&printed); err != nil {
+	if err := WriteMarkdown(&printed, Catalogue); err != nil {
 		t.Fatal(err)
 	}
 	if printed.String() != string(want) {
--- a/internal/front/internal_api.go
+++ b/internal/front/internal_api.go
@@ -35,5 +35,5 @@
 		transport.WriteJSON(c, 200, response)
 		return
 	}
-	transport.WriteJSON(c, 409, map[string]string{"Error": "another version is in force here"})
+	transport.WriteError(c, 409, "another version is in force here")
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -528,8 +528,8 @@
 		return t.defaultLimits.HeaderTimeout, t.defaultLimits.Idle
 	}
 	go func() {
-		ln, ok := transport.Listen(t.host.Settings().ListenAddresses.FrontAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
-		if !ok {
+		ln, err := transport.Listen(t.host.Settings().ListenAddresses.FrontAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
+		if err != nil {
 			return
 		}
 		t.listener.Store(&ln)
@@ -538,8 +538,8 @@
 }
 
 func (t *Server) serveReadiness() {
-	ln, ok := transport.Listen(t.host.Settings().ListenAddresses.ReadinessAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
-	if !ok {
+	ln, err := transport.Listen(t.host.Settings().ListenAddresses.ReadinessAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
+	if err != nil {
 		return
 	}
 	transport.Serve(ln, t.host.ServerOptions(t.host.Heartbeats(8)), func(_ context.Context, c *app.RequestContext) {
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -128,8 +128,8 @@
 	}
 	h := New(Options{Soft: 0.9, Hard: 0.97, WriteWithin: 2 * time.Second, Crowd: 50}, guide)
 	h.Set(&Snapshot{Map: routing.Compile(&config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: routes}, routing.Limits{Header: 1 << 14, Body: 1 << 22})})
-	ln, ok := transport.Listen("127.0.0.1:0", time.Second, time.Second, nil)
-	if !ok {
+	ln, err := transport.Listen("127.0.0.1:0", time.Second, time.Second, nil)
+	if err != nil {
 		t.Fatal("no listener")
 	}
 	limits := func() (time.Duration, time.Duration) { return time.Second, time.Second }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -58,8 +58,12 @@
 func New(settings *config.Settings, options Options) *Host {
 	h := &Host{startedAt: time.Now(), Stopping: make(chan struct{}), Options: options, ViewLoop: commandloop.New()}
 	h.settings.Store(settings)
-	idle := config.Milliseconds(settings.Bounds.InTouchMs, 1)
-	h.Client = transport.NewClient(maxIdleConnections, idle, h.TCPUserTimeout(), h.MaxMessageBytes())
+	h.Client = transport.NewClient(transport.ClientOptions{
+		MaxIdlePerNode: maxIdleConnections,
+		IdleTimeout:    config.Milliseconds(settings.Bounds.InTouchMs, 1),
+		TCPUserTimeout: h.TCPUserTimeout(),
+		MaxBodyBytes:   h.MaxMessageBytes(),
+	})
 	self := peersampling.Node{Name: settings.NodeName, IP: settings.IpAddress, Zone: settings.Zone, IsControl: settings.HasDisk() && options.Role != RoleCache}
 	h.View = peersampling.NewView(self, viewSize, shuffleSize)
 	return h
--- a/internal/host/responses.go
+++ b/internal/host/responses.go
@@ -17,5 +17,5 @@
 func (h *Host) WriteUnavailable(c *app.RequestContext, reason string) {
 	retryAfter := config.Milliseconds(h.Settings().Bounds.AcknowledgeMs, retryAfterRatio)
 	c.Response.Header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
-	transport.WriteJSON(c, 503, map[string]string{"Error": reason})
+	transport.WriteError(c, 503, reason)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,8 +128,8 @@
 		addrs = append(addrs, s.ListenAddresses.ControlAddress)
 	}
 	for i, a := range addrs {
-		ln, ok := transport.Listen(a, n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
-		if !ok {
+		ln, err := transport.Listen(a, n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
+		if err != nil {
 			return false
 		}
 		handle := n.HandleInternal
@@ -158,7 +158,7 @@
 		}
 		taken := n.control != nil && n.control.HandleInternal(c) || n.front != nil && n.front.HandleInternal(c)
 		if !taken {
-			transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
+			transport.WriteError(c, 404, "no such call")
 		}
 	}
 }
@@ -172,20 +172,20 @@
 		defer end()
 		if !ok {
 			c.Response.Header.Set("Retry-After", "0.2")
-			transport.WriteJSON(c, 503, map[string]string{"Error": "this node leaves"})
+			transport.WriteError(c, 503, "this node leaves")
 			return
 		}
 	}
 	until := n.callerDeadline(c)
 	switch {
 	case path != nodeapi.PathConfiguration && path != nodeapi.PathPurge && !rollout:
-		transport.WriteJSON(c, 404, map[string]string{"Error": "no such call"})
+		transport.WriteError(c, 404, "no such call")
 	case path == nodeapi.PathConfiguration && m != "GET" && m != "PUT" && m != "PATCH":
-		transport.WriteJSON(c, 405, map[string]string{"Error": "GET, PUT and PATCH only"})
+		transport.WriteError(c, 405, "GET, PUT and PATCH only")
 	case path == nodeapi.PathPurge && m != "POST":
-		transport.WriteJSON(c, 405, map[string]string{"Error": "POST only"})
+		transport.WriteError(c, 405, "POST only")
 	case rollout && m != "GET" && !(m == "POST" && path == nodeapi.PathRollouts):
-		transport.WriteJSON(c, 405, map[string]string{"Error": "POST " + nodeapi.PathRollouts + " and GET only"})
+		transport.WriteError(c, 405, "POST "+nodeapi.PathRollouts+" and GET only")
 	case m == "POST" && n.recentlyPaused():
 		// A change of the configuration is known as late by its base, an order isn't.
 		n.WriteUnavailable(c, "this node stood still, and the order may be an old one")
@@ -263,10 +263,15 @@
 	return st
 }
 
+// maxStatusBytes is the size of the largest status that FetchStatus reads.
+const maxStatusBytes = 8 << 20
+
 // FetchStatus asks a node for its status; `swiftswitch status` uses it.
 func FetchStatus(addr string, within time.Duration) ([]byte, error) {
-	cl := transport.NewClient(1, within, within, 8<<20)
-	rep, err := cl.Do(addr, "GET", nodeapi.PathStatus, nil, nil, within)
+	client := transport.NewClient(transport.ClientOptions{
+		MaxIdlePerNode: 1, IdleTimeout: within, TCPUserTimeout: within, MaxBodyBytes: maxStatusBytes,
+	})
+	rep, err := client.Do(addr, "GET", nodeapi.PathStatus, nil, nil, within)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -50,10 +50,7 @@
 // Load reads all records into the values given; those that are not there stay.
 func Load(cel *storage.Store, records map[string]any) error {
 	for name, v := range records {
-		raw, err := cel.Get(name)
-		if err != nil {
-			return err
-		}
+		raw := cel.Get(name)
 		if raw == nil {
 			continue
 		}
--- a/internal/storage/diskfault_test.go
+++ b/internal/storage/diskfault_test.go
@@ -74,7 +74,7 @@
 		t.Error("the store was quarantined")
 	}
 	for name, value := range durable {
-		if got, _ := s.Get(name); string(got) != value {
+		if got := s.Get(name); string(got) != value {
 			t.Errorf("%s is %.20q, durable was %.20q", name, got, value)
 		}
 	}
@@ -164,7 +164,7 @@
 	s.Close(time.Second)
 	s = openTestStore(t, disk)
 	defer s.Close(time.Second)
-	if value, _ := s.Get("a"); string(value) != "1" {
+	if value := s.Get("a"); string(value) != "1" {
 		t.Error("the record is lost")
 	}
 }
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -30,8 +30,8 @@
 		return 0, false, err
 	}
 	defer s.Close(time.Second)
-	raw, _ := s.Get("no")
-	big, _ := s.Get("big")
+	raw := s.Get("no")
+	big := s.Get("big")
 	if raw != nil {
 		var inBig int64
 		if _, err := fmt.Sscan(string(raw), &number); err != nil {
@@ -116,7 +116,7 @@
 		mustPut(t, s, "identity", "another")
 		s.Close(time.Second)
 		s = openTestStore(t, disk)
-		if id, _ := s.Get("identity"); string(id) != "another" || !s.Quarantined() {
+		if id := s.Get("identity"); string(id) != "another" || !s.Quarantined() {
 			t.Errorf("identity is %q, quarantined %v", id, s.Quarantined())
 		}
 		s.Close(time.Second)
@@ -131,7 +131,7 @@
 		return
 	}
 	defer s.Close(time.Second)
-	if id, _ := s.Get("identity"); id == nil && !s.Quarantined() {
+	if id := s.Get("identity"); id == nil && !s.Quarantined() {
 		t.Errorf("change %d, %d%% of unsynced data: the store is empty and nothing tells that it held an identity", change, percent)
 	}
 }
@@ -190,7 +190,7 @@
 		mustPut(t, s, "a", "1")
 		s.Close(time.Second)
 		s = openTestStore(t, mem.CrashClone(vfs.CrashCloneCfg{}))
-		if value, _ := s.Get("a"); string(value) != "1" {
+		if value := s.Get("a"); string(value) != "1" {
 			t.Errorf("%q made before: the record is lost", existing)
 		}
 		s.Close(time.Second)
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -131,12 +131,12 @@
 	}
 }
 
-// Get returns a copy of the record, or nil. It is meant for the start of the
+// Get returns a copy of the record, nil if there is none. It is meant for the start of the
 // node: the record may be newer than what is durable.
-func (s *Store) Get(name string) ([]byte, error) {
+func (s *Store) Get(name string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.records[name]), nil
+	return slices.Clone(s.records[name])
 }
 
 // Scan returns copies of the records whose names begin with prefix, on the
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -99,8 +99,8 @@
 	s = openDir(t, dir)
 	defer s.Close(time.Second)
 	for name, want := range map[string]string{"a": "1", "b": "2", "c": "3", "d": ""} {
-		if got, err := s.Get(name); err != nil || string(got) != want {
-			t.Errorf("%s is %q, %v", name, got, err)
+		if got := s.Get(name); string(got) != want {
+			t.Errorf("%s is %q", name, got)
 		}
 	}
 }
@@ -127,8 +127,8 @@
 	}
 	s = openDir(t, dir)
 	defer s.Close(time.Second)
-	if value, err := s.Get("a"); value != nil || err != nil {
-		t.Fatalf("read %q, %v", value, err)
+	if value := s.Get("a"); value != nil {
+		t.Fatalf("read %q", value)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "cellar-unreadable")); err != nil {
 		t.Fatal("the damaged store is gone")
@@ -157,8 +157,8 @@
 			appendToFile(t, log, tail)
 		}
 		s = openDir(t, crashed)
-		if value, err := s.Get("a"); string(value) != "3" || err != nil {
-			t.Fatalf("read %q, %v", value, err)
+		if value := s.Get("a"); string(value) != "3" {
+			t.Fatalf("read %q", value)
 		}
 		s.Close(time.Second)
 	}
@@ -266,7 +266,7 @@
 		if got := slices.Sorted(maps.Keys(s.Scan("list/"))); !slices.Equal(got, want) {
 			t.Errorf("start %d: %v, want %v", start, got, want)
 		}
-		if value, _ := s.Get("list/2"); value != nil {
+		if value := s.Get("list/2"); value != nil {
 			t.Errorf("start %d: a removed record is %q", start, value)
 		}
 		if start == 1 {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -479,8 +479,8 @@
 		n := w.Nodes[name]
 		s := config.Settings{}
 		s.InternalPortRange = []int32{int32(port), int32(port + 10)}
-		ln, ok := transport.Listen(s.InternalAddress(n.Settings().IpAddress), n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
-		if !ok {
+		ln, err := transport.Listen(s.InternalAddress(n.Settings().IpAddress), n.TCPUserTimeout(), n.Heartbeats(0.1), n.Stopping)
+		if err != nil {
 			w.T.Fatal("a node does not listen")
 		}
 		transport.Serve(ln, n.ServerOptions(2*time.Second), func(ctx context.Context, c *app.RequestContext) { n.HandleInternal(ctx, c) })
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -14,31 +14,33 @@
 // headRoom is the size of a request's head in most calls, in bytes.
 const headRoom = 256
 
+// ClientOptions are the limits of a client.
+type ClientOptions struct {
+	// MaxIdlePerNode is how many idle connections are kept to each address,
+	// IdleTimeout for how long.
+	MaxIdlePerNode int
+	IdleTimeout    time.Duration
+	// TCPUserTimeout is after how long without an acknowledgement a connection
+	// is broken; opening one takes no longer either.
+	TCPUserTimeout time.Duration
+	// MaxBodyBytes is the size of the largest response body that is read.
+	MaxBodyBytes int
+}
+
 // Client calls other nodes and keeps a few idle connections to each. It is
 // safe for concurrent use. No request is sent twice: whether a call may be
 // repeated is for the caller to know.
 type Client struct {
-	maxIdlePerNode int
-	idleTimeout    time.Duration
-	tcpUserTimeout time.Duration
-	maxBodyBytes   int
+	options ClientOptions
 
 	mu sync.Mutex
 	// idle are the connections by address, the one used last at the end.
 	idle map[string][]*Conn
 }
 
-// NewClient returns a client that keeps up to maxIdlePerNode connections to
-// each address, for no longer than idleTimeout. tcpUserTimeout is after how
-// long without an acknowledgement a connection is broken.
-func NewClient(maxIdlePerNode int, idleTimeout, tcpUserTimeout time.Duration, maxBodyBytes int) *Client {
-	return &Client{
-		maxIdlePerNode: maxIdlePerNode,
-		idleTimeout:    idleTimeout,
-		tcpUserTimeout: tcpUserTimeout,
-		maxBodyBytes:   maxBodyBytes,
-		idle:           map[string][]*Conn{},
-	}
+// NewClient returns a client without connections.
+func NewClient(options ClientOptions) *Client {
+	return &Client{options: options, idle: map[string][]*Conn{}}
 }
 
 // Response is what a node answered; it is a copy that its receiver owns.
@@ -88,14 +90,14 @@
 	conn := c.takeIdle(addr, start)
 	if conn == nil {
 		var err error
-		if conn, err = Dial(addr, min(timeout, c.tcpUserTimeout), c.tcpUserTimeout); err != nil {
+		if conn, err = Dial(addr, min(timeout, c.options.TCPUserTimeout), c.options.TCPUserTimeout); err != nil {
 			return Response{}, err
 		}
 	}
 	parsed := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(parsed)
 	request := appendRequest(addr, method, path, headers, body)
-	if _, err := conn.Exchange(request, deadline, false, c.maxBodyBytes, parsed); err != nil {
+	if _, err := conn.Exchange(request, deadline, false, c.options.MaxBodyBytes, parsed); err != nil {
 		_ = conn.Close()
 		return Response{}, err
 	}
@@ -140,7 +142,7 @@
 		}
 		conn := idle[len(idle)-1]
 		c.idle[addr] = idle[:len(idle)-1]
-		if now.Sub(conn.IdleSince) < c.idleTimeout && conn.Reusable() {
+		if now.Sub(conn.IdleSince) < c.options.IdleTimeout && conn.Reusable() {
 			return conn
 		}
 		_ = conn.Close()
@@ -152,7 +154,7 @@
 	conn.IdleSince = now
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.maxIdlePerNode {
+	if len(c.idle[addr]) >= c.options.MaxIdlePerNode {
 		_ = conn.Close()
 		return
 	}
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -11,6 +11,15 @@
 
 const anyPort = "127.0.0.1:0"
 
+func newTestClient(maxIdlePerNode int) *Client {
+	return NewClient(ClientOptions{
+		MaxIdlePerNode: maxIdlePerNode,
+		IdleTimeout:    time.Second,
+		TCPUserTimeout: time.Second,
+		MaxBodyBytes:   1 << 20,
+	})
+}
+
 // Connections between nodes are reused, whatever the size of a response.
 func TestClientReusesConnections(t *testing.T) {
 	listener := startServer(t, anyPort, testOptions(), func(c *app.RequestContext) {
@@ -20,7 +29,7 @@
 		}
 	})
 	addr := listener.Addr().String()
-	client := NewClient(2, time.Second, time.Second, 1<<20)
+	client := newTestClient(2)
 	for i := range 40 {
 		var out []byte
 		size := i * 100
@@ -50,7 +59,7 @@
 		}
 	})
 	addr := listener.Addr().String()
-	client := NewClient(2, time.Second, time.Second, 1<<20)
+	client := newTestClient(2)
 	response, err := client.Do(addr, "POST", "/x", nil, []byte("{"), time.Second)
 	if err != nil || response.Status != 400 {
 		t.Fatalf("a malformed message: %v %v", response.Status, err)
@@ -85,7 +94,7 @@
 	}
 	server, name := serve(anyPort, "first"), "first"
 	addr := server.Addr().String()
-	client := NewClient(4, time.Second, time.Second, 1<<20)
+	client := newTestClient(4)
 	call := func(wait, n int, timeout time.Duration) {
 		t.Helper()
 		var out struct {
--- a/internal/transport/main_test.go
+++ b/internal/transport/main_test.go
@@ -66,9 +66,9 @@
 // startServer serves on addr until the test ends or the listener is killed.
 func startServer(t *testing.T, addr string, options ServerOptions, handle func(c *app.RequestContext)) *killableListener {
 	t.Helper()
-	socket, ok := Listen(addr, time.Second, 10*time.Millisecond, nil)
-	if !ok {
-		t.Fatal("no listener")
+	socket, err := Listen(addr, time.Second, 10*time.Millisecond, nil)
+	if err != nil {
+		t.Fatal(err)
 	}
 	listener := &killableListener{Listener: socket}
 	t.Cleanup(listener.kill)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"time"
 
@@ -17,6 +18,9 @@
 // readBufferBytes is the size of the buffer that each connection holds.
 const readBufferBytes = 2048
 
+// ErrStopped is the error of Listen when it was stopped before it could listen.
+var ErrStopped = errors.New("stopped before listening")
+
 func init() { hlog.SetLevel(hlog.LevelFatal) }
 
 // ServerOptions are the limits of one listener.
@@ -39,19 +43,19 @@
 }
 
 // Listen opens a listening socket on addr (host:port). While that fails, it
-// logs why and retries after each retryInterval; it returns false once stop is
-// closed.
-func Listen(addr string, tcpUserTimeout, retryInterval time.Duration, stop <-chan struct{}) (net.Listener, bool) {
+// logs why and retries after each retryInterval; once stop is closed it fails
+// with ErrStopped.
+func Listen(addr string, tcpUserTimeout, retryInterval time.Duration, stop <-chan struct{}) (net.Listener, error) {
 	listenConfig := &net.ListenConfig{Control: controlTCPUserTimeout(tcpUserTimeout), KeepAlive: -1}
 	for {
 		listener, err := listenConfig.Listen(context.Background(), "tcp4", addr)
 		if err == nil {
-			return listener, true
+			return listener, nil
 		}
 		events.Log(events.ListenFailed, "addr", addr, "err", err)
 		select {
 		case <-stop:
-			return nil, false
+			return nil, ErrStopped
 		case <-time.After(retryInterval):
 		}
 	}
