--- a/internal/control/lease.go
+++ b/internal/control/lease.go
@@ -34,7 +34,7 @@
 			if h.host.Draining.Load() {
 				return
 			}
-			release, yields = h.pollLease.Release(false, now)
+			release, yields = h.pollLease.YieldToPreferred(now)
 			if bid, asks = h.pollLease.NextRequest(now); asks {
 				to = h.votersToAsk(now)
 			}
@@ -216,7 +216,7 @@
 func (h *Server) resignLease() {
 	var b lease.Request
 	yields := false
-	h.loop.Call(func() { b, yields = h.pollLease.Release(true, h.host.Now()) })
+	h.loop.Call(func() { b, yields = h.pollLease.Resign() })
 	if yields {
 		h.releaseLease(b)
 	}
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -460,7 +460,14 @@
 				}
 			}
 			young := h.host.Now() <= config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.75)
-			enough = membership.EnoughVoters(len(s.Voters), leaving, h.standbyCount(), held, h.toleratedLosses(), young)
+			enough = membership.Redundancy{
+				Voters:            len(s.Voters),
+				LeavingVoters:     leaving,
+				StandbyNodes:      h.standbyCount(),
+				DurableReplicas:   held,
+				ToleratedFailures: h.toleratedLosses(),
+				JustStarted:       young,
+			}.Sufficient()
 		})
 		if enough {
 			return true
@@ -548,7 +555,7 @@
 			if !held.Stamp.Before(mine.Stamp) && held.FrontCount >= mine.FrontCount {
 				p.TableReplicas++
 			}
-			if need := min(p.ToleratedFailures+1, p.StayingNodes); p.StateReplicas >= need && p.TableReplicas >= need {
+			if p.Replicated() {
 				break
 			}
 		}
--- a/internal/lease/candidate.go
+++ b/internal/lease/candidate.go
@@ -266,16 +266,23 @@
 	return c.request.Epoch, c.Holds(now)
 }
 
-// Release gives the lease, or the campaign for it, up where another voter is
-// to have the role now, or in any case at once. The request is what the voters
-// are to be sent as released, so that nobody waits for the lease to expire.
-func (c *Candidate) Release(atOnce bool, now time.Duration) (r Request, ok bool) {
-	preferred := c.PreferredHolder(now)
-	if c.request.Epoch == 0 || !atOnce && (preferred == c.Self || preferred == "") {
+// YieldToPreferred resigns where another voter is preferred as the holder now.
+func (c *Candidate) YieldToPreferred(now time.Duration) (released Request, ok bool) {
+	if preferred := c.PreferredHolder(now); preferred == c.Self || preferred == "" {
 		return Request{}, false
 	}
-	r = c.request
+	return c.Resign()
+}
+
+// Resign gives up the lease, or the campaign for it. The voters should be sent
+// the released request, so that nobody waits for the lease to expire; ok is
+// false where there is none.
+func (c *Candidate) Resign() (released Request, ok bool) {
+	if c.request.Epoch == 0 {
+		return Request{}, false
+	}
+	released = c.request
 	c.abandon()
 	c.lastProgress = 0
-	return r, true
+	return released, true
 }
--- a/internal/lease/candidate_test.go
+++ b/internal/lease/candidate_test.go
@@ -106,7 +106,7 @@
 	c.wantHolder(32*lease/20, "b")
 	c.exchangeHeartbeats(33*lease/20, "a", "b", "c")
 	c.exchangeHeartbeats(33*lease/20, "a", "b", "c")
-	released, ok := c.candidates["b"].Release(false, 33*lease/20)
+	released, ok := c.candidates["b"].YieldToPreferred(33 * lease / 20)
 	if !ok {
 		t.Fatal("the second node does not give way to the preferred one")
 	}
@@ -129,7 +129,7 @@
 		t.Fatal("an old release ended a newer lease")
 	}
 	// A node that drains releases the lease at once.
-	if _, ok := c.candidates["a"].Release(true, 35*lease/20); !ok || c.candidates["a"].Holds(35*lease/20) {
+	if _, ok := c.candidates["a"].Resign(); !ok || c.candidates["a"].Holds(35*lease/20) {
 		t.Fatal("a draining node keeps the lease")
 	}
 }
@@ -167,7 +167,7 @@
 	}
 	for end := now + 3*lease; now < end; now += lease / 5 {
 		c.exchangeHeartbeats(now, "a", "b", "c")
-		if _, ok := c.candidates["b"].Release(false, now); ok {
+		if _, ok := c.candidates["b"].YieldToPreferred(now); ok {
 			return
 		}
 	}
--- a/internal/lease/simulated_node_test.go
+++ b/internal/lease/simulated_node_test.go
@@ -91,7 +91,7 @@
 	m.schedule(lease/5, node, func() { m.tick(node) })
 	now := m.clock(node)
 	m.sendHeartbeats(node, now)
-	if released, ok := n.candidate.Release(false, now); ok {
+	if released, ok := n.candidate.YieldToPreferred(now); ok {
 		m.logf("%s releases epoch %d", n.disk.id, released.Epoch)
 		for _, id := range n.voterSet.voters {
 			to := m.nodeOf[id]
--- a/internal/membership/drain.go
+++ b/internal/membership/drain.go
@@ -18,11 +18,15 @@
 	ToleratedFailures int
 }
 
+// Replicated tells whether the state and the table are on enough nodes that stay.
+func (p DrainProgress) Replicated() bool {
+	required := min(p.ToleratedFailures+1, p.StayingNodes)
+	return p.StateReplicas >= required && p.TableReplicas >= required
+}
+
 // Complete tells whether everything that the node holds is on enough nodes
 // that stay, and its vote passed on.
 func (p DrainProgress) Complete() bool {
-	replicas := min(p.ToleratedFailures+1, p.StayingNodes)
-	replicated := p.StateReplicas >= replicas && p.TableReplicas >= replicas
 	votePassedOn := !p.IsVoter || !p.StandbyAvailable
-	return replicated && votePassedOn && !p.ProposalPending
+	return p.Replicated() && votePassedOn && !p.ProposalPending
 }
--- a/internal/membership/redundancy.go
+++ b/internal/membership/redundancy.go
@@ -1,15 +1,29 @@
 package membership
 
-// EnoughVoters tells whether a change may be acknowledged with these voters,
-// of which some drain: that is, whether the loss of as many nodes as are to be
-// tolerated leaves it on a synced disk. Standby nodes run, stay and have no
-// vote. Durable is on how many disks of voters that stay the change is known to
-// be. A node that started a short while ago waits for others to come.
-func EnoughVoters(voters, leaving, standby, durable, toleratedFailures int, justStarted bool) bool {
-	if voters < 2*toleratedFailures+1 && (justStarted || standby > 0) {
+// Redundancy is on how many nodes a decided change is, when it is to be acknowledged.
+type Redundancy struct {
+	// Voters counts all voters, LeavingVoters those of them that drain.
+	Voters        int
+	LeavingVoters int
+	// StandbyNodes counts the nodes that run, stay and have no vote.
+	StandbyNodes int
+	// DurableReplicas counts the voters that stay and are known to have the
+	// change on a synced disk.
+	DurableReplicas int
+	// ToleratedFailures is how many nodes may fail without loss of data.
+	ToleratedFailures int
+	// JustStarted tells whether this node started a short while ago, so that
+	// others may still come.
+	JustStarted bool
+}
+
+// Sufficient tells whether the change may be acknowledged: whether it stays on
+// a disk, however many nodes fail that are to be tolerated.
+func (r Redundancy) Sufficient() bool {
+	if r.Voters < 2*r.ToleratedFailures+1 && (r.JustStarted || r.StandbyNodes > 0) {
 		return false
 	}
 	// A quorum has it; those of the quorum that drain don't count.
-	replicas := max(durable, voters/2+1-leaving)
-	return replicas >= min(toleratedFailures+1, voters-leaving)
+	replicas := max(r.DurableReplicas, r.Voters/2+1-r.LeavingVoters)
+	return replicas >= min(r.ToleratedFailures+1, r.Voters-r.LeavingVoters)
 }
--- a/internal/membership/redundancy_test.go
+++ b/internal/membership/redundancy_test.go
@@ -2,25 +2,27 @@
 
 import "testing"
 
-func TestEnoughVoters(t *testing.T) {
+func TestSufficientRedundancy(t *testing.T) {
 	for _, c := range []struct {
-		name                                              string
-		voters, leaving, standby, durable, toleratedFails int
-		justStarted, want                                 bool
+		name       string
+		redundancy Redundancy
+		want       bool
 	}{
-		{"all are there", 3, 0, 0, 0, 1, false, true},
-		{"just started, others may come", 1, 0, 0, 1, 1, true, false},
-		{"started long ago and alone", 1, 0, 0, 1, 1, false, true},
-		{"a standby node is to vote first", 3, 0, 1, 3, 2, false, false},
-		{"five voters, standby nodes don't matter", 5, 0, 2, 0, 2, false, true},
-		{"its quorum may contain the one that leaves", 3, 1, 0, 1, 1, false, false},
-		{"both that stay have it", 3, 1, 0, 2, 1, false, true},
-		{"one of five leaves", 5, 1, 0, 2, 2, false, false},
-		{"one of five leaves, three have it", 5, 1, 0, 3, 2, false, true},
-		{"all leave", 3, 3, 0, 0, 1, false, true},
+		{"all are there", Redundancy{Voters: 3, ToleratedFailures: 1}, true},
+		{"just started, others may come", Redundancy{Voters: 1, DurableReplicas: 1, ToleratedFailures: 1, JustStarted: true}, false},
+		{"started long ago and alone", Redundancy{Voters: 1, DurableReplicas: 1, ToleratedFailures: 1}, true},
+		{"a standby node is to vote first", Redundancy{Voters: 3, StandbyNodes: 1, DurableReplicas: 3, ToleratedFailures: 2}, false},
+		{"five voters, standby nodes don't matter", Redundancy{Voters: 5, StandbyNodes: 2, ToleratedFailures: 2}, true},
+		{"its quorum may contain the one that leaves", Redundancy{Voters: 3, LeavingVoters: 1, DurableReplicas: 1, ToleratedFailures: 1}, false},
+		{"both that stay have it", Redundancy{Voters: 3, LeavingVoters: 1, DurableReplicas: 2, ToleratedFailures: 1}, true},
+		{"one of five leaves", Redundancy{Voters: 5, LeavingVoters: 1, DurableReplicas: 2, ToleratedFailures: 2}, false},
+		{"one of five leaves, three have it", Redundancy{Voters: 5, LeavingVoters: 1, DurableReplicas: 3, ToleratedFailures: 2}, true},
+		{"all leave", Redundancy{Voters: 3, LeavingVoters: 3, ToleratedFailures: 1}, true},
 	} {
-		if got := EnoughVoters(c.voters, c.leaving, c.standby, c.durable, c.toleratedFails, c.justStarted); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.redundancy.Sufficient(); got != c.want {
+				t.Errorf("sufficient: %v, want %v", got, c.want)
+			}
+		})
 	}
 }
