--- a/internal/nodeapi/cache.go
+++ b/internal/nodeapi/cache.go
@@ -2,40 +2,57 @@
 
 import "swiftswitch/internal/cache"
 
-// CacheFetchRequest asks for an object, larderSay goes with the answer, in a header:
-// the object itself is the body. All times are in milliseconds.
+// StatusNoQuota is the status of a CacheFetchResponse from a node that holds no
+// share of the service's rate limit now. The front asks the next cache node.
+const StatusNoQuota = 409
+
+// HeaderCacheFetch bears the CacheFetchResponse, as JSON, of an answer whose
+// body is the object.
+const HeaderCacheFetch = "Swiftswitch-Larder"
+
+// CacheFetchRequest is sent by a front to a cache node on PathCacheFetch: it
+// asks for an object, which the cache node fetches from its origin if it holds
+// no object that may be served. The JSON keys are short because these calls
+// are frequent.
 type CacheFetchRequest struct {
-	Host    string  `json:"H"`
-	Target  string  `json:"T"`
-	Service string  `json:"S"`
-	Weight  float64 `json:"W"`
-	// PurgeSeq is the last purge that the asker knows; LeftMs is how long the
-	// client waits, WaitMs how long the asker does before it asks again.
-	PurgeSeq        int64 `json:"P"`
-	TimeLeftMs      int64 `json:"L"`
-	PollTimeoutMs   int64 `json:"M"`
+	Host    string `json:"H"`
+	Target  string `json:"T"`
+	Service string `json:"S"`
+	// Weight is the request's weight in the order of the fetch queue.
+	Weight float64 `json:"W"`
+	// PurgeSeq is the number of the last purge that the front knows. The cache
+	// node waits until it knows that one too.
+	PurgeSeq int64 `json:"P"`
+	// TimeLeftMs is how long the client still waits, PollTimeoutMs how long
+	// the front waits before it asks again, possibly another cache node.
+	TimeLeftMs    int64 `json:"L"`
+	PollTimeoutMs int64 `json:"M"`
+	// TargetLatencyMs is the route's latency target. A fetch that would take
+	// longer is refused at once, with RetryAfterMs.
 	TargetLatencyMs int64 `json:"A"`
-	// IsRetry: the client was refused once and came back.
+	// IsRetry reports that this is not the first call for the client's
+	// request, or that the client itself was refused before; it is not
+	// refused for taking longer than the target.
 	IsRetry bool `json:"R,omitempty"`
 }
 
+// CacheFetchResponse answers a CacheFetchRequest in HeaderCacheFetch.
 type CacheFetchResponse struct {
-	// Status is 200 for a copy, 202 while it is being fetched, the origin's
-	// status for an answer passed on, and 502 to 504 for a failure of ours.
-	Status       int           `json:"X"`
-	Fields       []cache.Field `json:"F,omitempty"`
-	ETag         string        `json:"E,omitempty"`
-	Stamp        string        `json:"S,omitempty"`
-	Tags         []string      `json:"T,omitempty"`
-	PurgeSeq     int64         `json:"K,omitempty"`
-	AgeMs        int64         `json:"A,omitempty"`
-	RetryAfterMs int64         `json:"B,omitempty"`
-	PassThrough  bool          `json:"P,omitempty"`
+	// Status is 200 for an object, 202 while it is being fetched, the origin's
+	// status for an answer that is passed through, StatusNoQuota, or 502 to
+	// 504 for a failure of the fetch.
+	Status int           `json:"X"`
+	Fields []cache.Field `json:"F,omitempty"`
+	ETag   string        `json:"E,omitempty"`
+	// Stamp is the origin's Swiftswitch-Server-Stamp.
+	Stamp string   `json:"S,omitempty"`
+	Tags  []string `json:"T,omitempty"`
+	// PurgeSeq is the number of the last purge that the object is known to survive.
+	PurgeSeq int64 `json:"K,omitempty"`
+	// AgeMs is the time since the fetch of the object began.
+	AgeMs int64 `json:"A,omitempty"`
+	// RetryAfterMs is how soon the client may come back after a refusal.
+	RetryAfterMs int64 `json:"B,omitempty"`
+	// PassThrough marks an origin's answer that must not be cached.
+	PassThrough bool `json:"P,omitempty"`
 }
-
-// StatusNoQuota answers a fetch at a node that has no share of the service's
-// rate limit now.
-const StatusNoQuota = 409
-
-// HeaderCacheFetch holds the CacheFetchResponse of an answer whose body is the object.
-const HeaderCacheFetch = "Swiftswitch-Larder"
--- /dev/null
+++ b/internal/nodeapi/heartbeat.go
@@ -0,0 +1,46 @@
+package nodeapi
+
+import "swiftswitch/internal/endpoints"
+
+// Heartbeat is sent by a control node to the others on PathHeartbeat, every
+// 0.4 heartbeat intervals; the answer is the receiver's own Heartbeat. Of two
+// control nodes that hear each other only one sends, except that the holder of
+// the polling lease sends to every voter, since its renewals travel along.
+//
+// The receiver feeds its failure detector with it, and compares the versions
+// of what both hold: the side that is behind is sent the difference.
+type Heartbeat struct {
+	// ID is the sender's identity, which changes when its disk is lost. IP is
+	// its address.
+	ID string `json:"ID"`
+	IP string `json:"IP"`
+	// DecidedSlot is the last slot that the sender knows to be decided,
+	// DurableSlot the last whose state is on its disk. DurableSlot <= DecidedSlot.
+	DecidedSlot int64 `json:"Slot"`
+	DurableSlot int64 `json:"Kept"`
+	// Epoch and Holder are the newest epoch of the polling lease that the
+	// sender has seen, and the ID of its holder.
+	Epoch  int64  `json:"Epoch"`
+	Holder string `json:"Holder"`
+	// Stamp orders the endpoint table that the sender holds.
+	Stamp endpoints.Stamp `json:"Stamp"`
+	Zone  string          `json:"Zone"`
+	// Draining is set from the sender's SIGTERM on.
+	Draining bool `json:"Leaving,omitempty"`
+	// Ineligible reports that the sender cannot hold a lease now: it hears no
+	// majority of the voters, or the voters granted it nothing.
+	Ineligible bool `json:"Unfit,omitempty"`
+	// FrontCount is the number of fronts that the sender counts.
+	FrontCount int `json:"Fronts,omitempty"`
+	// Renewals renew the leases that the sender holds, by singleton role.
+	// GrantedRoles, in the answer only, are the roles whose renewal the
+	// answering voter granted.
+	Renewals     map[string]LeaseRenewal `json:"Renews,omitempty"`
+	GrantedRoles []string                `json:"Granted,omitempty"`
+	// ElapsedMs is how much of a running rollout's duration has passed by the
+	// sender's clock, by the order's number.
+	ElapsedMs map[int64]int64 `json:"Spent,omitempty"`
+	// RosterRevision is the revision of the sender's FrontRoster. A receiver
+	// that holds another one fetches it on PathFrontRoster.
+	RosterRevision int64 `json:"Roll"`
+}
