--- a/internal/control/consensus.go
+++ b/internal/control/consensus.go
@@ -110,7 +110,7 @@
 		}
 		packed, err := codec.CompressDelta(base, n.Body)
 		if err != nil {
-			events.Log(events.InvariantViolated, "pack", err)
+			events.Log(events.InvariantViolated, "err", err)
 			panic(err)
 		}
 		n.Body, n.PackedBody = "", packed
@@ -141,7 +141,7 @@
 		return h.pastBodies[at].Body, true
 	}, h.host.MaxMessageBytes())
 	if err != nil {
-		events.Log(events.MessageRejected, "path", "news", "from", n.FromSlot, "slot", n.Slot, "err", err)
+		events.Log(events.MessageRejected, "message", "state-delta", "from_slot", n.FromSlot, "slot", n.Slot, "err", err)
 		return false
 	}
 	s, ok := h.acceptor.State.ApplyDelta(whole)
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -48,7 +48,7 @@
 		if v := m.Value; v != nil && v.Body != "" {
 			packed, err := codec.CompressDelta(base.Body, v.Body)
 			if err != nil {
-				events.Log(events.InvariantViolated, "pack", err)
+				events.Log(events.InvariantViolated, "err", err)
 				panic(err)
 			}
 			m.Value, m.PackedBody = nodeapi.WithoutBody(v, packed), packed
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 		return 3
 	}
 	if n.Start() {
-		events.Log(events.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "hut", n.control != nil, "trail", n.front != nil)
+		events.Log(events.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "control", n.control != nil, "front", n.front != nil)
 	}
 	n.handleSignals()
 	events.Log(events.Stopped)
