--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -1,177 +1,226 @@
 package control
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
-	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/transport"
 
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// The operator's calls for the configuration.
+// Parts of Bounds.AcknowledgeMs.
+const (
+	// operatorReadRatio is how long one attempt of an operator's read may take.
+	operatorReadRatio = 0.6
+	// maxReadAnswerAgeRatio bounds how old the state that a read gave may be
+	// when the answer to it is ready.
+	maxReadAnswerAgeRatio = 0.1
+	// directChangeRatio is how long a change that came directly from its
+	// operator is tried.
+	directChangeRatio = 0.8
+	// frontsWaitRatio is how long the answer to a change that is decided waits
+	// for the fronts to hold it.
+	frontsWaitRatio = 0.1
+	// proposalReadRatio bounds a read in the middle of a proposal.
+	proposalReadRatio = 0.3
+)
+
+// HandleConfiguration answers the operator's calls for the configuration: GET,
+// and PUT and PATCH of a new version. deadline is when the caller goes on.
+func (s *Server) HandleConfiguration(c *app.RequestContext, deadline time.Time) {
+	if string(c.Request.Header.Method()) == http.MethodGet {
+		s.getConfiguration(c, deadline)
+		return
+	}
+	change := configurationChange{
+		isPatch: string(c.Request.Header.Method()) == http.MethodPatch,
+		body:    string(c.Request.Body()),
+		ifMatch: string(c.Request.Header.Peek("If-Match")),
+	}
+	// A late change is recognised by its base version. So one that came directly
+	// from its operator is tried for longer than the operator waits: when it is
+	// sent again, it is found to be applied.
+	changeDeadline := deadline
+	if len(c.Request.Header.Peek(nodeapi.HeaderForwardedBy)) == 0 {
+		changeDeadline = time.Now().Add(s.acknowledgeTime(directChangeRatio))
+	}
+	version, err := s.changeConfiguration(change, changeDeadline)
+	if err != nil {
+		events.Log(events.ConfigRejected, "status", httpStatus(err), "why", err)
+		s.writeOperatorError(c, err)
+		return
+	}
+	s.waitFrontsHold(s.State().Slot, min(s.acknowledgeTime(frontsWaitRatio), time.Until(deadline)/2))
+	transport.WriteJSON(c, http.StatusOK, map[string]int64{"Version": version})
+}
 
-// maxReadAnswerAge is how old, of AcknowledgeMs, what a read gave may be when it is answered.
-const maxReadAnswerAge = 0.1
+// getConfiguration answers with the newest configuration, as it was put.
+func (s *Server) getConfiguration(c *app.RequestContext, deadline time.Time) {
+	s.answerRead(c, deadline, func(state consensus.State) {
+		if state.Version == 0 {
+			s.writeOperatorError(c, ErrNoConfiguration)
+			return
+		}
+		c.SetStatusCode(http.StatusOK)
+		c.Response.Header.SetContentType("application/json")
+		c.Response.Header.Set("ETag", strconv.FormatInt(state.Version, 10))
+		c.Response.SetBodyRaw([]byte(state.Body))
+	})
+}
 
-// answerRead reads the newest state within the caller's patience and gives it to
-// answer, which only prepares the answer; should the node have stood still
-// meanwhile, it reads anew.
-func (h *Server) answerRead(c *app.RequestContext, until time.Time, answer func(consensus.State)) {
-	ack := h.host.Settings().Bounds.AcknowledgeMs
-	for time.Now().Before(until) {
-		s, ok := h.readQuorum(min(config.Milliseconds(ack, 0.6), time.Until(until)))
+// answerRead reads the newest state until deadline and gives it to answer, which
+// only prepares the response. Where the process was paused between the read and
+// the prepared response, a later change may have been acknowledged elsewhere:
+// the response is dropped and the state is read again.
+func (s *Server) answerRead(c *app.RequestContext, deadline time.Time, answer func(consensus.State)) {
+	for time.Now().Before(deadline) {
+		state, ok := s.readQuorum(min(s.acknowledgeTime(operatorReadRatio), time.Until(deadline)))
 		if !ok {
 			break
 		}
-		at := time.Now()
-		if answer(s); time.Since(at) < config.Milliseconds(ack, maxReadAnswerAge) {
+		readAt := time.Now()
+		answer(state)
+		if time.Since(readAt) < s.acknowledgeTime(maxReadAnswerAgeRatio) {
 			return
 		}
 		c.Response.Reset()
 	}
 	events.Log(events.ReadNoQuorum)
-	h.host.WriteUnavailable(c, "no majority can be reached")
-}
-
-// HandleConfiguration takes the operator's calls.
-func (h *Server) HandleConfiguration(c *app.RequestContext, until time.Time) {
-	if string(c.Request.Header.Method()) == "GET" {
-		h.answerRead(c, until, func(s consensus.State) {
-			if s.Version == 0 {
-				transport.WriteError(c, 404, "there is no configuration yet")
-				return
-			}
-			c.SetStatusCode(200)
-			c.Response.Header.SetContentType("application/json")
-			c.Response.Header.Set("ETag", strconv.FormatInt(s.Version, 10))
-			c.Response.SetBodyRaw([]byte(s.Body))
-		})
-		return
-	}
-	body := string(c.Request.Body())
-	// A change is known as late by its base: one that came directly may be tried
-	// for longer than its caller waits, and is found settled when it is sent again.
-	settleBy := until
-	if len(c.Request.Header.Peek(nodeapi.HeaderForwardedBy)) == 0 {
-		settleBy = time.Now().Add(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.8))
-	}
-	status, text := h.changeConfiguration(string(c.Request.Header.Method()) == "PATCH", body, string(c.Request.Header.Peek("If-Match")), settleBy)
-	if status == 200 {
-		h.waitFrontsHold(h.State().Slot, min(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.1), time.Until(until)/2))
-		transport.WriteJSON(c, 200, map[string]int64{"Version": text.version})
-		return
-	}
-	events.Log(events.ConfigRejected, "status", status, "why", text.why)
-	switch status {
-	case 503:
-		h.host.WriteUnavailable(c, text.why)
-		return
-	case 412:
-		c.Response.Header.Set("ETag", strconv.FormatInt(text.version, 10))
-	}
-	transport.WriteError(c, status, text.why)
+	s.writeOperatorError(c, ErrNoMajority)
 }
 
-// changeResult is how a change ended: version is its own, or the current one where it lost.
-type changeResult struct {
-	version int64
-	why     string
+// configurationChange is an operator's PUT or PATCH.
+type configurationChange struct {
+	isPatch bool
+	body    string
+	// ifMatch is the header that names the version which the change builds on.
+	ifMatch string
 }
 
-// staleBase is a change that builds on another version than the current one.
-func staleBase(current int64) changeResult {
-	return changeResult{current, "version " + strconv.FormatInt(current, 10) + " is current"}
+// baseVersion reads the version that the change builds on.
+func (c configurationChange) baseVersion() (int64, error) {
+	entityTag := strings.Trim(strings.TrimPrefix(strings.TrimSpace(c.ifMatch), "W/"), "\"")
+	base, err := strconv.ParseInt(entityTag, 10, 64)
+	if err != nil || base < 0 {
+		return 0, invalid("If-Match must hold the version that this one builds on")
+	}
+	return base, nil
 }
 
-// changeConfiguration settles a PUT, or a PATCH: that is merged here into a whole version,
-// on top of the one it builds on.
-func (h *Server) changeConfiguration(isPatch bool, body, match string, until time.Time) (int, changeResult) {
-	var version int64
-	var patch *config.Patch
-	sum := consensus.Fingerprint(body)
-	if isPatch {
-		p, err := config.ParsePatch([]byte(body))
-		if err != nil {
-			return 400, changeResult{why: err.Error()}
+// parse checks the change and makes the value to propose. patch is nil for a
+// PUT; for a PATCH the body of the value is still the patch, to be merged into
+// the version that it builds on. Its fingerprint is that of the request, so that
+// the change is recognised when it is sent again.
+func (c configurationChange) parse() (value *consensus.Value, patch *config.Patch, err error) {
+	value = &consensus.Value{Body: c.body}
+	if c.isPatch {
+		if patch, err = config.ParsePatch([]byte(c.body)); err != nil {
+			return nil, nil, &InvalidError{Reason: err}
 		}
-		version, patch, sum = p.Version, p, consensus.Fingerprint("PATCH\n"+body)
+		value.Version, value.RequestFingerprint = patch.Version, consensus.Fingerprint("PATCH\n"+c.body)
 	} else {
-		conf, err := config.ParseConfiguration([]byte(body))
+		configuration, err := config.ParseConfiguration([]byte(c.body))
 		if err != nil {
-			return 400, changeResult{why: err.Error()}
+			return nil, nil, &InvalidError{Reason: err}
 		}
-		version = conf.Version
+		value.Version, value.RequestFingerprint = configuration.Version, consensus.Fingerprint(c.body)
 	}
-	base, err := strconv.ParseInt(strings.Trim(strings.TrimPrefix(strings.TrimSpace(match), "W/"), "\""), 10, 64)
-	if err != nil || base < 0 {
-		return 400, changeResult{why: "If-Match must hold the version that this one builds on"}
+	if value.BaseVersion, err = c.baseVersion(); err != nil {
+		return nil, nil, err
 	}
-	if version <= base {
-		return 400, changeResult{why: "Version is not above the one it builds on"}
+	if value.Version <= value.BaseVersion {
+		return nil, nil, invalid("Version is not above the one it builds on")
 	}
-	status, end := h.decideConfiguration(&consensus.Value{Version: version, BaseVersion: base, Body: body, RequestFingerprint: sum}, patch, until)
-	if status != 200 {
-		return status, end
+	return value, patch, nil
+}
+
+// changeConfiguration has a change decided and returns its version once enough
+// disks hold it.
+func (s *Server) changeConfiguration(change configurationChange, deadline time.Time) (version int64, err error) {
+	value, patch, err := change.parse()
+	if err != nil {
+		return 0, err
+	}
+	if err := s.decideConfiguration(value, patch, deadline); err != nil {
+		return 0, err
 	}
-	// Not under the lock of proposals: a node that is to vote must be let in meanwhile.
-	if !h.waitReplicated(until) {
-		return 503, changeResult{why: "too few nodes hold it yet"}
+	// The proposal lock is released by now: a node that is to become a voter,
+	// without which there may be too few replicas, must be let in meanwhile.
+	if !s.waitReplicated(deadline) {
+		return 0, ErrTooFewReplicas
 	}
-	return 200, changeResult{version: version}
+	return value.Version, nil
 }
 
-// decideConfiguration has a configuration decided, merged from a patch where there is one.
-func (h *Server) decideConfiguration(own *consensus.Value, patch *config.Patch, until time.Time) (int, changeResult) {
-	h.proposalLock.Lock()
-	defer h.proposalLock.Unlock()
+// decideConfiguration proposes a configuration until it is applied, whoever had
+// it chosen, or can't be any more. A patch is merged into the version that it
+// builds on, once: a version has one body, whichever ballot chooses it.
+func (s *Server) decideConfiguration(value *consensus.Value, patch *config.Patch, deadline time.Time) error {
+	s.proposalLock.Lock()
+	defer s.proposalLock.Unlock()
 	merged := patch == nil
-	for try := 0; ; try++ {
-		h.proposalLock.YieldToUrgent()
-		s := h.State()
+	for attempt := 0; ; attempt++ {
+		s.proposalLock.YieldToUrgent()
+		state := s.State()
 		switch {
-		case s.HasApplied(own.Version, own.BaseVersion, own.RequestFingerprint):
-			return 200, changeResult{}
-		case own.BaseVersion < s.Version:
-			return 412, staleBase(s.Version)
-		case time.Now().After(until):
-			return 503, changeResult{why: "no majority agreed in time"}
-		case h.isolated():
-			return 503, changeResult{why: "no majority can be reached"}
-		case own.BaseVersion > s.Version:
-			// This node may be behind: whoever knows more will say so.
-			fresh, ok := h.readDuringProposal(until)
-			if ok && fresh.Version < own.BaseVersion {
-				return 412, staleBase(fresh.Version)
+		case state.HasApplied(value.Version, value.BaseVersion, value.RequestFingerprint):
+			return nil
+		case value.BaseVersion < state.Version:
+			return &StaleBaseError{Current: state.Version}
+		case time.Now().After(deadline):
+			return ErrNotInTime
+		case s.isolated():
+			return ErrNoMajority
+		case value.BaseVersion > state.Version:
+			// This node may be behind: a majority knows whether there is such a version.
+			fresh, ok := s.readDuringProposal(deadline)
+			if ok && fresh.Version < value.BaseVersion {
+				return &StaleBaseError{Current: fresh.Version}
 			}
 			if !ok {
-				h.backOff(try)
+				s.backOff(attempt)
 			}
 			continue
 		}
 		if !merged {
-			// A version has one body, so it is merged once.
-			whole, err := patch.Apply([]byte(s.Body))
-			if err == nil {
-				_, err = config.ParseConfiguration(whole)
-			}
+			body, err := mergePatch(patch, state.Body)
 			if err != nil {
-				return 400, changeResult{why: err.Error()}
+				return err
 			}
-			own.Body, merged = string(whole), true
+			value.Body, merged = body, true
 		}
-		if !h.propose(s, own) {
-			h.backOff(try)
+		if !s.propose(state, value) {
+			s.backOff(attempt)
 		}
 	}
 }
 
-// readDuringProposal is a read in the middle of settling an order, no longer than that may take.
-func (h *Server) readDuringProposal(until time.Time) (consensus.State, bool) {
-	return h.readQuorum(min(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3), time.Until(until)))
+// mergePatch gives the configuration that a patch makes of its base.
+func mergePatch(patch *config.Patch, base string) (string, error) {
+	whole, err := patch.Apply([]byte(base))
+	if err != nil {
+		return "", &InvalidError{Reason: err}
+	}
+	if _, err := config.ParseConfiguration(whole); err != nil {
+		return "", &InvalidError{Reason: err}
+	}
+	return string(whole), nil
+}
+
+// readDuringProposal reads the newest state while the proposal lock is held, for
+// no longer than other proposals may be kept waiting by it.
+func (s *Server) readDuringProposal(deadline time.Time) (consensus.State, bool) {
+	return s.readQuorum(min(s.acknowledgeTime(proposalReadRatio), time.Until(deadline)))
+}
+
+// acknowledgeTime is a part of the time in which a change is to be acknowledged.
+func (s *Server) acknowledgeTime(ratio float64) time.Duration {
+	return config.Milliseconds(s.host.Settings().Bounds.AcknowledgeMs, ratio)
 }
--- a/internal/control/consensus.go
+++ b/internal/control/consensus.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"errors"
 	"slices"
 	"swiftswitch/internal/codec"
 	"swiftswitch/internal/nodeapi"
@@ -11,9 +10,6 @@
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
-	"swiftswitch/internal/transport"
-
-	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // What huts tell each other about ballots and decided state. Bodies travel as
@@ -62,7 +58,7 @@
 	select {
 	case err = <-done:
 	case <-time.After(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.5)):
-		err = errors.New("the disk takes too long")
+		err = ErrDiskTooSlow
 	}
 	return say, err
 }
@@ -161,7 +157,7 @@
 
 // handleLearn takes word of a decided slot. The answer names the slot up to
 // which this node has it all on disk.
-func (h *Server) handleLearn(c *app.RequestContext, m nodeapi.LearnRequest) {
+func (h *Server) handleLearn(m nodeapi.LearnRequest) nodeapi.LearnResponse {
 	h.loop.Call(func() {
 		if m.Delta != nil {
 			h.applyStateDelta(m.Delta, "told")
@@ -169,7 +165,7 @@
 			h.learn(h.acceptor.State.Apply(*h.acceptor.AcceptedValue), "accepted")
 		}
 	})
-	transport.WriteJSON(c, 200, nodeapi.LearnResponse{DurableSlot: h.waitDurable()})
+	return nodeapi.LearnResponse{DurableSlot: h.waitDurable()}
 }
 
 // sendState brings another hut up to what this one knows, and gives the slot up
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -63,8 +63,8 @@
 }
 
 func (h *Server) ChangeConfiguration(isPatch bool, body, match string, until time.Time) int {
-	status, _ := h.changeConfiguration(isPatch, body, match, until)
-	return status
+	_, err := h.changeConfiguration(configurationChange{isPatch: isPatch, body: body, ifMatch: match}, until)
+	return httpStatus(err)
 }
 
 func (h *Server) RolloutTotals() *nodeapi.RolloutTotals {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -163,9 +163,7 @@
 			go func() {
 				var say nodeapi.PeekResponse
 				if v.IP == h.host.Settings().IpAddress {
-					h.loop.Call(func() {
-						say = nodeapi.PeekResponse{AcceptorID: h.acceptor.ID, DecidedSlot: h.acceptor.State.Slot, HasAccepted: h.acceptor.AcceptedValue != nil}
-					})
+					h.loop.Call(func() { say = h.peek() })
 				} else if h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathPeek, struct{}{}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.2)) != nil {
 					in <- nil
 					return
@@ -197,3 +195,8 @@
 		h.backOff(try)
 	}
 }
+
+// peek tells what this voter knows of the open slot; it runs on the loop.
+func (h *Server) peek() nodeapi.PeekResponse {
+	return nodeapi.PeekResponse{AcceptorID: h.acceptor.ID, DecidedSlot: h.acceptor.State.Slot, HasAccepted: h.acceptor.AcceptedValue != nil}
+}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -23,9 +23,6 @@
 	"swiftswitch/internal/relay"
 	"swiftswitch/internal/rollout"
 	"swiftswitch/internal/storage"
-	"swiftswitch/internal/transport"
-
-	"github.com/cloudwego/hertz/pkg/app"
 )
 
 // Server is the part of a node with a disk. Its tables belong to one desk.
@@ -33,6 +30,8 @@
 	host  *host.Host
 	store *storage.Store
 	loop  *commandloop.Loop
+	// handlers answer the calls of other nodes, by path.
+	handlers map[string]handlerFunc
 
 	// Owned by the desk.
 	acceptor         consensus.DurableAcceptor
@@ -169,6 +168,7 @@
 	if h.table != nil {
 		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.Holder)
 	}
+	h.handlers = h.internalAPI()
 	h.applyVoters()
 	h.rollouts = newRolloutController(terms, n.Now())
 	h.applyRollouts()
@@ -278,149 +278,6 @@
 	return out
 }
 
-// HandleInternal takes a call of another node and tells whether it was one of a hut's.
-func (h *Server) HandleInternal(c *app.RequestContext) bool {
-	switch string(c.Request.URI().PathOriginal()) {
-	case nodeapi.PathConsensus:
-		var m nodeapi.ConsensusRequest
-		if transport.ReadJSON(c, &m) {
-			if say, err := h.handleConsensus(m); err != nil {
-				transport.WriteError(c, 503, err.Error())
-			} else {
-				transport.WriteJSON(c, 200, say)
-			}
-		}
-	case nodeapi.PathLearn:
-		var m nodeapi.LearnRequest
-		if transport.ReadJSON(c, &m) {
-			h.handleLearn(c, m)
-		}
-	case nodeapi.PathState:
-		var m nodeapi.StateRequest
-		if transport.ReadJSON(c, &m) {
-			var say *nodeapi.StateDelta
-			h.loop.Call(func() { say = h.stateDelta(min(m.Slot, h.acceptor.State.Slot)) })
-			transport.WriteJSON(c, 200, say)
-		}
-	case nodeapi.PathVersion:
-		var m nodeapi.VersionRequest
-		if transport.ReadJSON(c, &m) {
-			var say nodeapi.VersionResponse
-			var body []byte
-			h.loop.Call(func() { say, body = h.versionResponse(m) })
-			c.SetStatusCode(200)
-			c.Response.Header.Set(nodeapi.HeaderVersion, string(codec.MustEncode("version", say)))
-			c.Response.Header.SetContentType("application/json")
-			c.Response.Header.SetContentEncoding("gzip")
-			c.Response.SetBodyRaw(body)
-		}
-	case nodeapi.PathPeek:
-		var say nodeapi.PeekResponse
-		h.loop.Call(func() {
-			say = nodeapi.PeekResponse{AcceptorID: h.acceptor.ID, DecidedSlot: h.acceptor.State.Slot, HasAccepted: h.acceptor.AcceptedValue != nil}
-		})
-		transport.WriteJSON(c, 200, say)
-	case nodeapi.PathHeartbeat:
-		var m nodeapi.Heartbeat
-		if transport.ReadJSON(c, &m) {
-			h.loop.Call(func() {
-				h.onHeartbeat(m)
-				granted := h.grantRenewals(m)
-				m = h.heartbeat()
-				m.GrantedRoles = granted
-			})
-			transport.WriteJSON(c, 200, m)
-		}
-	case nodeapi.PathTable:
-		var m nodeapi.TableRequest
-		if !transport.ReadJSON(c, &m) {
-			return true
-		}
-		d, err := nodeapi.UnpackTableDelta(m.Delta, h.host.MaxMessageBytes())
-		if err != nil {
-			events.Log(events.MessageRejected, "path", nodeapi.PathTable, "from", c.RemoteAddr(), "err", err)
-			transport.WriteError(c, 400, err.Error())
-			return true
-		}
-		var say nodeapi.TableResponse
-		h.loop.Call(func() { say.Stamp = h.applyTableDelta(d) })
-		transport.WriteJSON(c, 200, say)
-	case nodeapi.PathTableFetch:
-		var m nodeapi.TableFetchRequest
-		if transport.ReadJSON(c, &m) {
-			var say nodeapi.TableFetchResponse
-			h.loop.Call(func() {
-				if h.table != nil {
-					say.Delta = h.tableDelta(m.Stamp)
-				}
-			})
-			transport.WriteJSON(c, 200, say)
-		}
-	case nodeapi.PathLease:
-		var m nodeapi.LeaseRequest
-		if transport.ReadJSON(c, &m) {
-			if say, err := h.handleLeaseRequest(m); err != nil {
-				transport.WriteError(c, 503, err.Error())
-			} else {
-				transport.WriteJSON(c, 200, say)
-			}
-		}
-	case nodeapi.PathUnreachable:
-		var m nodeapi.UnreachableReport
-		if transport.ReadJSON(c, &m) {
-			h.loop.Call(func() { h.onUnreachableReport(m) })
-			transport.WriteJSON(c, 200, struct{}{})
-		}
-	case nodeapi.PathCacheJoin:
-		var l consensus.CacheNode
-		if !transport.ReadJSON(c, &l) {
-			return true
-		}
-		if h.handleCacheJoin(l) {
-			transport.WriteJSON(c, 200, struct{}{})
-		} else {
-			transport.WriteError(c, 503, "not agreed")
-		}
-	case nodeapi.PathRolloutReport:
-		var m nodeapi.RolloutReport
-		if transport.ReadJSON(c, &m) {
-			h.loop.Call(func() { h.onRolloutReport(m) })
-			transport.WriteJSON(c, 200, struct{}{})
-		}
-	case nodeapi.PathRolloutTotals:
-		var m nodeapi.RolloutTotals
-		if transport.ReadJSON(c, &m) {
-			h.loop.Call(func() { h.onRolloutTotals(m) })
-			transport.WriteJSON(c, 200, struct{}{})
-		}
-	case nodeapi.PathFrontRoster:
-		var r nodeapi.FrontRoster
-		h.loop.Call(func() { r = h.frontRoster() })
-		transport.WriteJSON(c, 200, r)
-	case nodeapi.PathSilentVoters:
-		transport.WriteJSON(c, 200, h.memberReport())
-	case nodeapi.PathPersist:
-		if held, err := h.persistAndReport(); err != nil {
-			transport.WriteError(c, 503, err.Error())
-		} else {
-			transport.WriteJSON(c, 200, held)
-		}
-	case nodeapi.PathJoin:
-		var m nodeapi.JoinRequest
-		if transport.ReadJSON(c, &m) {
-			transport.WriteJSON(c, 200, h.handleJoin(m))
-		}
-	case nodeapi.PathWatch:
-		var m nodeapi.WatchRequest
-		if transport.ReadJSON(c, &m) {
-			transport.WriteJSON(c, 200, h.handleWatch(m))
-		}
-	default:
-		return false
-	}
-	return true
-}
-
 // ID is the identity that this node's disk was given.
 func (h *Server) ID() string { return h.acceptor.ID }
 
