--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -33,6 +33,10 @@
 	reporters map[string]*rollout.ReportFilter
 	// laggingReports is how many fronts lag behind a phase, as other huts told.
 	laggingReports map[string]laggingReport
+	// frontEvidence is what each front reported last of what it has counted.
+	frontEvidence map[string]frontEvidence
+	// withoutLeaseAt is when this node last lacked the lease while an order ran.
+	withoutLeaseAt time.Duration
 	sequence       int64
 	termsNotedAt   time.Duration
 }
@@ -43,14 +47,20 @@
 }
 
 type laggingReport struct {
+	at       time.Duration
+	orders   map[int64]int
+	evidence map[int64]rollout.Evidence
+}
+
+type frontEvidence struct {
 	at     time.Duration
-	orders map[int64]int
+	orders []rollout.FrontEvidence
 }
 
 func newRolloutController(n rollout.Noted, now time.Duration) rolloutController {
 	return rolloutController{
 		clock: rollout.NewClock(n, time.Now(), now), totals: rollout.NewAggregator(), evaluators: map[int64]*rollout.Judge{},
-		phaseKnownAt: map[int64]knownPhase{}, orderKnownAt: map[int64]time.Duration{}, reporters: map[string]*rollout.ReportFilter{}, laggingReports: map[string]laggingReport{},
+		phaseKnownAt: map[int64]knownPhase{}, orderKnownAt: map[int64]time.Duration{}, reporters: map[string]*rollout.ReportFilter{}, laggingReports: map[string]laggingReport{}, frontEvidence: map[string]frontEvidence{},
 	}
 }
 
@@ -106,11 +116,12 @@
 	}
 	m.Entries = slices.DeleteFunc(m.Entries, func(e rollout.Entry) bool { return !h.rolloutRunning(e.Order) })
 	h.rollouts.totals.Add(m.Entries)
+	h.rollouts.frontEvidence[m.Name] = frontEvidence{h.host.Now(), m.Evidence}
 }
 
 // onRolloutTotals takes all that another hut was told; it runs on the desk.
 func (h *Server) onRolloutTotals(m nodeapi.RolloutTotals) {
-	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.Now(), m.FrontsBehind}
+	h.rollouts.laggingReports[m.ID] = laggingReport{h.host.Now(), m.FrontsBehind, m.Evidence}
 	h.evaluate(h.rollouts.totals.Merge(m.ID, m.Incarnation, m.Seq, m.Entries))
 }
 
@@ -154,6 +165,28 @@
 	return out
 }
 
+// evidenceTTL, in heartbeats, is how long a front's report counts: longer than
+// a front may stall.
+const evidenceTTL = 4
+
+// evidence sums up, by order, what the fronts that reported to this node
+// lately have counted. It runs on the server's loop.
+func (h *Server) evidence() map[int64]rollout.Evidence {
+	out := map[int64]rollout.Evidence{}
+	now := h.host.Now()
+	for _, report := range h.rollouts.frontEvidence {
+		if now-report.at >= h.host.Heartbeats(evidenceTTL) {
+			continue
+		}
+		for _, front := range report.orders {
+			if h.rolloutRunning(front.Order) {
+				out[front.Order] = out[front.Order].Add(front)
+			}
+		}
+	}
+	return out
+}
+
 // rolloutLoop carries the orders that run.
 func (h *Server) rolloutLoop() {
 	for {
@@ -190,6 +223,7 @@
 			clear(c.evaluators)
 			clear(c.reporters)
 			clear(c.laggingReports)
+			clear(c.frontEvidence)
 		}
 		return nil, nil, ""
 	}
@@ -200,15 +234,16 @@
 	c.totals.Retain(h.rolloutRunning)
 	own := c.totals.OwnTotals()
 	if !h.pollLease.Holds(now) {
+		c.withoutLeaseAt = now
 		for ip, o := range h.peers {
 			if o.id == h.pollLease.ObservedHolder {
 				to = ip
 			}
 		}
-		return nil, &nodeapi.RolloutTotals{ID: h.acceptor.ID, Incarnation: h.incarnation, Seq: c.sequence, Entries: own, FrontsBehind: h.laggingFronts()}, to
+		return nil, &nodeapi.RolloutTotals{ID: h.acceptor.ID, Incarnation: h.incarnation, Seq: c.sequence, Entries: own, FrontsBehind: h.laggingFronts(), Evidence: h.evidence()}, to
 	}
 	h.evaluate(c.totals.Merge(h.acceptor.ID, h.incarnation, c.sequence, own))
-	lag := h.laggingFronts()
+	lag, evidence := h.laggingFronts(), h.evidence()
 	for _, r := range running {
 		j := h.evaluator(r)
 		j.Loaded = r.Phase != consensus.PhaseCanary
@@ -227,7 +262,12 @@
 			if now-b.at < h.host.Heartbeats(1) {
 				f.Behind += b.orders[r.OrderSlot]
 			}
+			if now-b.at < h.host.Heartbeats(evidenceTTL) {
+				evidence[r.OrderSlot] = evidence[r.OrderSlot].Merge(b.evidence[r.OrderSlot])
+			}
 		}
+		f.Evidence = evidence[r.OrderSlot]
+		f.Successor = now-c.withoutLeaseAt < f.Settle
 		f.Ready, f.Old = h.capacity(r)
 		if s := rollout.Decide(f, h.host.Options.Rollout, h.host.RolloutExposure()); s.Phase != "" {
 			steps = append(steps, consensus.Rollout{OrderSlot: r.OrderSlot, Service: r.Service, TargetVersion: r.TargetVersion, Phase: s.Phase, ElapsedMs: f.Spent.Milliseconds(), TrialMs: s.For.Milliseconds(), TargetAttempts: j.New, TotalAttempts: j.New + j.Old, Reason: s.Why})
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -30,8 +30,10 @@
 	trialUntil map[int64]time.Duration
 	halted     map[int64]bool
 	// observed are the services with a rollout under way.
-	observed    atomic.Pointer[map[string]observedRollout]
-	recorder    rollout.Recorder
+	observed atomic.Pointer[map[string]observedRollout]
+	recorder rollout.Recorder
+	// unsent holds what was charted here and what no control node has taken yet.
+	unsent      rollout.Recorder
 	evaluators  map[int64]*rollout.Judge
 	incarnation int64
 	sequence    int64
@@ -203,27 +205,45 @@
 			continue
 		}
 		entries := t.rollouts.recorder.Drain()
-		if len(entries) == 0 {
-			continue
-		}
-		to, m := "", nodeapi.RolloutReport{Name: t.host.Settings().NodeName, Incarnation: t.rollouts.incarnation, Entries: entries}
+		to, m := "", nodeapi.RolloutReport{Name: t.host.Settings().NodeName, Incarnation: t.rollouts.incarnation, Entries: append(t.rollouts.unsent.Drain(), entries...)}
+		alarm := false
 		t.loop.Call(func() {
-			t.evaluate(entries)
+			if len(entries) > 0 {
+				t.evaluate(entries)
+			}
+			m.Evidence, alarm = t.evidence()
 			t.rollouts.sequence++
 			m.Seq = t.rollouts.sequence
 			if len(t.watchTargets) > 0 {
 				to = t.watchTargets[0]
 			}
 		})
+		if len(m.Entries) == 0 && !alarm {
+			continue
+		}
 		if to == "" || t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathRolloutReport, m, nil, t.host.Heartbeats(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
-			for _, e := range entries {
-				t.rollouts.recorder.Record(e.Cell, e.Sum)
+			for _, e := range m.Entries {
+				t.rollouts.unsent.Record(e.Cell, e.Sum)
 			}
 		}
 	}
 }
 
+// evidence lists what this node has counted of the orders that run, and tells
+// whether its charts signal against any. It runs on the server's loop.
+func (t *Server) evidence() (out []rollout.FrontEvidence, alarm bool) {
+	for order, evaluator := range t.rollouts.evaluators {
+		if evaluator.New+evaluator.Old == 0 {
+			continue
+		}
+		halted := t.rollouts.halted[order]
+		out = append(out, rollout.FrontEvidence{Order: order, New: evaluator.New, Good: evaluator.Good, Old: evaluator.Old, Alarm: halted})
+		alarm = alarm || halted
+	}
+	return out, alarm
+}
+
 // evaluate runs the charts over what this node saw itself; it runs on the desk.
 func (t *Server) evaluate(entries []rollout.Entry) {
 	now := t.host.Now()
--- a/internal/nodeapi/rollout.go
+++ b/internal/nodeapi/rollout.go
@@ -15,6 +15,9 @@
 	Incarnation int64           `json:"Life"`
 	Seq         int64           `json:"Seq"`
 	Entries     []rollout.Entry `json:"Entries"`
+	// Evidence is what the front has counted since the orders began, whole
+	// in each report.
+	Evidence []rollout.FrontEvidence `json:"Views,omitempty"`
 }
 
 // RolloutTotals is sent by each control node to the holder of the polling
@@ -30,4 +33,7 @@
 	// FrontsBehind is the number of fronts, heard lately by the sender, that
 	// do not know an order's last phase yet, by the order's number.
 	FrontsBehind map[int64]int `json:"Behind,omitempty"`
+	// Evidence sums up, by the order's number, what the fronts that reported
+	// to the sender lately have counted.
+	Evidence map[int64]rollout.Evidence `json:"Evidence,omitempty"`
 }
--- a/internal/rollout/belay_test.go
+++ b/internal/rollout/belay_test.go
@@ -256,7 +256,33 @@
 		"promote":                {func(f *Facts) { f.Rollout.Phase = consensus.PhaseTrial }, consensus.PhasePromote},
 		"fronts lag behind":      {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.PhasePromote, 1500*time.Millisecond, 1 }, ""},
 		"lagging fronts give up": {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.PhasePromote, 2*time.Second, 1 }, consensus.PhaseCompleted},
-		"settled":                {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhaseCompleted, "x" }, ""},
+		"most fronts' alarms": {func(f *Facts) {
+			f.Rollout.Phase, f.Evidence = consensus.PhaseCanary, Evidence{Fronts: 2, Alarms: 2, New: 8, Old: 300}
+		}, consensus.PhaseRolledBack},
+		"half of the fronts' alarms": {func(f *Facts) {
+			f.Rollout.Phase, f.Evidence = consensus.PhaseCanary, Evidence{Fronts: 2, Alarms: 1, New: 8, Old: 300}
+		}, ""},
+		"no traffic": {func(f *Facts) {
+			f.Rollout.Phase, f.Spent, f.Rate, f.New, f.Good = consensus.PhaseCanary, 10*time.Second, 0, 0, 0
+		}, consensus.PhaseTrial},
+		"little traffic": {func(f *Facts) {
+			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, Old: 100}
+		}, consensus.PhaseTrial},
+		"requests and no answers": {func(f *Facts) {
+			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 3, Old: 1500}
+		}, ""},
+		"few answers at its term": {func(f *Facts) {
+			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 15500*time.Millisecond, Evidence{Fronts: 2, New: 3, Old: 1500}
+		}, consensus.PhaseRolledBack},
+		"requests and answers": {func(f *Facts) {
+			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 30, Good: 29, Old: 1500}
+		}, consensus.PhaseTrial},
+		"a successor has not heard all": {func(f *Facts) { f.Rollout.Phase, f.Spent, f.Successor = consensus.PhaseCanary, 10*time.Second, true }, ""},
+		"those that spoke first are not most": {func(f *Facts) {
+			f.Rollout.Phase, f.Successor, f.Evidence = consensus.PhaseCanary, true, Evidence{Fronts: 1, Alarms: 1, New: 4, Old: 50}
+		}, ""},
+		"nor in the trial": {func(f *Facts) { f.Rollout.Phase, f.Successor = consensus.PhaseTrial, true }, ""},
+		"settled":          {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhaseCompleted, "x" }, ""},
 	} {
 		f := good
 		x.change(&f)
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -23,6 +23,11 @@
 	// tries of the new version were seen and were no failures.
 	Rate      float64
 	New, Good int64
+	// Evidence is what the fronts have counted since the order began.
+	Evidence Evidence
+	// Successor: this node acquired the lease so lately that not all fronts
+	// may have reported to it.
+	Successor bool
 	// Ready and Old count the slots of the new version's searchers that are
 	// warm, and those of the old version's.
 	Ready, Old int
@@ -51,6 +56,10 @@
 		return Step{}
 	case f.Bad != "":
 		return Step{Phase: consensus.PhaseRolledBack, Why: f.Bad}
+	case f.Evidence.MajorityAlarm() && !f.Successor:
+		return Step{Phase: consensus.PhaseRolledBack, Why: "the charts of most fronts"}
+	case phase == consensus.PhaseCanary && f.Spent >= time.Duration(last*float64(term)) && f.Evidence.Insufficient(o.CanaryShare(e)):
+		return Step{Phase: consensus.PhaseRolledBack, Why: "too few good answers by its term"}
 	case phase != consensus.PhasePromote && f.Spent >= time.Duration(last*float64(term)):
 		return Step{Phase: consensus.PhaseRolledBack, Why: "not found good by its term"}
 	}
@@ -59,9 +68,12 @@
 		if f.Spent < time.Duration(o.TrialAfter*float64(term)) || 2*f.Ready < f.Old || f.Ready == 0 {
 			return Step{}
 		}
+		if f.Successor || f.Evidence.Insufficient(o.CanaryShare(e)) {
+			return Step{}
+		}
 		return Step{Phase: consensus.PhaseTrial, For: o.trialFor(f, term, e), Why: "nothing found against it"}
 	case consensus.PhaseTrial:
-		if f.Since < time.Duration(f.Rollout.TrialMs)*time.Millisecond+f.Report || f.Ready == 0 {
+		if f.Since < time.Duration(f.Rollout.TrialMs)*time.Millisecond+f.Report || f.Ready == 0 || f.Successor {
 			return Step{}
 		}
 		// Where requests come, some of the new version's must have been answered.
