--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -22,11 +22,11 @@
 func (h *Server) ProposalLock() *proposalLock          { return &h.proposalLock }
 func (h *Server) Host() *host.Host                     { return h.host }
 func (h *Server) Store() *storage.Store                { return h.store }
-func (h *Server) Table() *endpoints.Table              { return h.table }
-func (h *Server) Voter() *lease.Voter                  { return h.voter }
-func (h *Server) PollLease() *lease.Candidate          { return h.pollLease }
+func (h *Server) Table() *endpoints.Table              { return h.tables.current }
+func (h *Server) Voter() *lease.Voter                  { return h.pollLease.voter }
+func (h *Server) PollLease() *lease.Candidate          { return h.pollLease.Candidate }
 func (h *Server) Incarnation() int64                   { return h.incarnation }
-func (h *Server) TableDeltas() int                     { return len(h.tableDeltas) }
+func (h *Server) TableDeltas() int                     { return len(h.tables.deltas) }
 func (h *Server) SetFrontCounts(n int)                 { h.frontCount, h.persistedFrontCount = n, n }
 func (h *Server) InheritedFrontCount() int             { return h.inheritedFrontCount }
 func (h *Server) PersistedFrontCount() int             { return h.persistedFrontCount }
@@ -35,12 +35,12 @@
 }
 func (h *Server) Evaluators() map[int64]*rollout.Judge { return h.rollouts.evaluators }
 
-func (h *Server) SetDetector(d *membership.FailureDetector) { h.detector = d }
+func (h *Server) SetDetector(d *membership.FailureDetector) { h.peers.detector = d }
 
 func (h *Server) ReplacementTimeout() time.Duration { return h.replacementTimeout() }
 func (h *Server) MemberReport() membership.Report   { return h.memberReport() }
 func (h *Server) WaitDurable() int64                { return h.waitDurable() }
-func (h *Server) SetTable(t *endpoints.Table)       { h.setTable(t) }
+func (h *Server) SetTable(t *endpoints.Table)       { h.tables.set(t) }
 func (h *Server) CountFronts(now time.Duration) int { return h.countFronts(now) }
 func (h *Server) FrontsAround(zone string) (region, here int) {
 	return h.frontsAround(zone)
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -12,14 +12,6 @@
 
 // Signs of life between huts, and what is handed over on them.
 
-type peerState struct {
-	id      string
-	heardAt time.Duration
-	leaving bool
-	zone    string
-	slot    int64
-}
-
 // heartbeat is this node's sign of life; it runs on the desk.
 func (h *Server) heartbeat() nodeapi.Heartbeat {
 	b := nodeapi.Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, DecidedSlot: h.acceptor.State.Slot, DurableSlot: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Draining: h.host.Draining.Load()}
@@ -27,8 +19,8 @@
 	b.FrontCount = h.frontCount
 	b.RosterRevision = h.frontRoster().Revision
 	b.ElapsedMs = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.Now()).Spent
-	if h.table != nil {
-		b.Stamp = h.table.Stamp
+	if h.tables.current != nil {
+		b.Stamp = h.tables.current.Stamp
 	}
 	return b
 }
@@ -36,8 +28,8 @@
 // onHeartbeat takes another hut's sign of life; it runs on the desk.
 func (h *Server) onHeartbeat(b nodeapi.Heartbeat) {
 	now := h.host.Now()
-	h.peers[b.IP] = peerState{b.ID, now, b.Draining, b.Zone, b.DecidedSlot}
-	h.detector.OnHeartbeat(b.ID, now)
+	h.peers.byIP[b.IP] = peerState{b.ID, now, b.Draining, b.Zone, b.DecidedSlot}
+	h.peers.detector.OnHeartbeat(b.ID, now)
 	h.onFrontCount(b.FrontCount, now)
 	h.pollLease.OnHeartbeat(b.ID, !b.Draining && !b.Ineligible, now)
 	h.pollLease.ObserveEpoch(b.Epoch, b.Holder)
@@ -51,20 +43,20 @@
 		h.peerRosters[b.IP] = r
 		go h.fetchRoster(b.IP)
 	}
-	h.handoff.OnAcknowledged(b.IP, b.DurableSlot)
-	if b.DecidedSlot < h.acceptor.State.Slot && h.handoff.NeedsHandoff(b.IP, h.acceptor.State.Slot) {
-		h.handoff.Begin(b.IP)
+	h.peers.handoff.OnAcknowledged(b.IP, b.DurableSlot)
+	if b.DecidedSlot < h.acceptor.State.Slot && h.peers.handoff.NeedsHandoff(b.IP, h.acceptor.State.Slot) {
+		h.peers.handoff.Begin(b.IP)
 		go h.handOff(b.IP, b.DecidedSlot)
 	}
-	if t := h.table; t != nil && b.Stamp.Before(t.Stamp) {
-		h.sendTable(b.IP, b.Stamp)
+	if t := h.tables.current; t != nil && b.Stamp.Before(t.Stamp) {
+		h.tables.send(b.IP, b.Stamp)
 	}
 }
 
 // handOff gives a node what it missed.
 func (h *Server) handOff(ip string, slot int64) {
 	held := h.sendState(ip, slot, h.host.Heartbeats(1))
-	h.loop.Submit(func() { h.handoff.Finish(ip, held) })
+	h.loop.Submit(func() { h.peers.handoff.Finish(ip, held) })
 }
 
 // peerIPs lists the other huts to beat to; it runs on the desk.
@@ -80,13 +72,12 @@
 		add(v.IP)
 	}
 	now := h.host.Now()
-	for ip, o := range h.peers {
+	for ip, o := range h.peers.byIP {
 		if now-o.heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
 			add(ip)
 		} else if !slices.Contains(out, ip) {
-			delete(h.peers, ip)
+			h.peers.forget(ip)
 			delete(h.peerRosters, ip)
-			h.handoff.Forget(ip)
 		}
 	}
 	return out
@@ -113,11 +104,11 @@
 	h.loop.Call(func() {
 		sent = h.host.Now()
 		b = h.heartbeat()
-		bid, b.Renewals = h.leaseRenewals(sent)
+		bid, b.Renewals = h.pollLease.renewals(sent)
 		for _, ip := range h.peerIPs() {
 			// A beat's answer is one as well: of two that hear each other, one
 			// sends. A holder sends to all voters, as its renewals go along.
-			o, ok := h.peers[ip]
+			o, ok := h.peers.byIP[ip]
 			if ok && sent-o.heardAt < h.host.Heartbeats(0.6) && !b.Draining && !h.initiatesHeartbeat(b, ip, o) {
 				known++
 				continue
@@ -134,7 +125,7 @@
 			if err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathHeartbeat, b, &say, h.host.Heartbeats(0.8)); err == nil {
 				h.loop.Submit(func() {
 					h.onHeartbeat(say)
-					h.onRenewals(bid, say, sent)
+					h.pollLease.onRenewals(bid, say, sent)
 				})
 				h.host.ViewLoop.Submit(func() { h.host.View.Add(peersampling.Node{Name: say.ID, IP: say.IP, IsControl: true}) })
 			}
--- a/internal/control/internal_api.go
+++ b/internal/control/internal_api.go
@@ -33,7 +33,7 @@
 		// Membership and leases.
 		nodeapi.PathHeartbeat:    handle(infallible(s.handleHeartbeat)),
 		nodeapi.PathJoin:         handle(infallible(s.handleJoin)),
-		nodeapi.PathLease:        handle(s.handleLeaseRequest),
+		nodeapi.PathLease:        handle(s.pollLease.handleRequest),
 		nodeapi.PathSilentVoters: report(s.handleSilentVoters),
 
 		// The endpoint table.
@@ -144,7 +144,7 @@
 func (s *Server) handleHeartbeat(heartbeat nodeapi.Heartbeat) (response nodeapi.Heartbeat) {
 	s.loop.Call(func() {
 		s.onHeartbeat(heartbeat)
-		granted := s.grantRenewals(heartbeat)
+		granted := s.pollLease.grantRenewals(heartbeat)
 		response = s.heartbeat()
 		response.GrantedRoles = granted
 	})
@@ -162,15 +162,15 @@
 	if err != nil {
 		return response, &InvalidError{Reason: err}
 	}
-	s.loop.Call(func() { response.Stamp = s.applyTableDelta(delta) })
+	s.loop.Call(func() { response.Stamp = s.tables.applyDelta(delta) })
 	return response, nil
 }
 
 // handleTableFetch gives what changed in the endpoint table since the one held.
 func (s *Server) handleTableFetch(request nodeapi.TableFetchRequest) (response nodeapi.TableFetchResponse) {
 	s.loop.Call(func() {
-		if s.table != nil {
-			response.Delta = s.tableDelta(request.Stamp)
+		if s.tables.current != nil {
+			response.Delta = s.tables.delta(request.Stamp)
 		}
 	})
 	return response
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -24,7 +24,7 @@
 
 // detectorTick notes that this node runs; it runs on the desk.
 func (h *Server) detectorTick() {
-	if h.detector.Tick(h.host.Now()) {
+	if h.peers.detector.Tick(h.host.Now()) {
 		events.Log(events.FailureDetectorReset)
 	}
 }
@@ -47,7 +47,7 @@
 		now := h.host.Now()
 		say = membership.Report{ID: h.acceptor.ID, Slot: h.acceptor.State.Slot, Leaving: h.host.Draining.Load()}
 		for _, v := range h.acceptor.State.Voters {
-			if v.ID != h.acceptor.ID && h.detector.SilentFor(v.ID, now) > h.replacementTimeout() {
+			if v.ID != h.acceptor.ID && h.peers.detector.SilentFor(v.ID, now) > h.replacementTimeout() {
 				say.Suspected = append(say.Suspected, v.ID)
 			}
 		}
@@ -88,7 +88,7 @@
 		}
 		err := h.host.Client.CallJSON(addr, nodeapi.PathPersist, struct{}{}, &held, within)
 		if err == nil && held.DecidedSlot >= s.Slot {
-			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held.DecidedSlot) })
+			h.loop.Submit(func() { h.peers.handoff.OnAcknowledged(ip, held.DecidedSlot) })
 			return held, true
 		}
 		if err == nil {
@@ -113,13 +113,13 @@
 		}
 		owed := false
 		h.loop.Call(func() {
-			owed = h.acceptor.State.Slot == s.Slot && s.IsVoter(h.voterIDAt(ip)) && !h.handoff.Holds(ip, s.Slot)
+			owed = h.acceptor.State.Slot == s.Slot && s.IsVoter(h.voterIDAt(ip)) && !h.peers.handoff.Holds(ip, s.Slot)
 		})
 		if !owed {
 			return
 		}
 		if held := h.sendState(ip, s.Slot-1, h.host.Heartbeats(0.3)); held >= 0 {
-			h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, held) })
+			h.loop.Submit(func() { h.peers.handoff.OnAcknowledged(ip, held) })
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	c := membership.Admission{Self: h.acceptor.ID, Base: s, Newcomer: consensus.Voter{ID: m.ID, IP: m.IP}, NewcomerSlot: m.DurableSlot, TargetVoters: h.targetVoters(), Leaving: map[string]bool{}, VoterReports: []membership.Report{h.memberReport()}}
 	h.loop.Call(func() {
 		for _, v := range s.Voters {
-			if o, ok := h.peers[v.IP]; ok && o.id == v.ID && o.leaving {
+			if o, ok := h.peers.byIP[v.IP]; ok && o.id == v.ID && o.leaving {
 				c.Leaving[v.ID] = true
 			}
 		}
@@ -334,8 +334,8 @@
 			return nodeapi.JoinResponse{DecidedSlot: s.Slot}
 		}
 		h.loop.Call(func() {
-			if o, ok := h.peers[m.IP]; !ok || o.id != m.ID {
-				h.peers[m.IP] = peerState{id: m.ID, heardAt: h.host.Now()}
+			if o, ok := h.peers.byIP[m.IP]; !ok || o.id != m.ID {
+				h.peers.byIP[m.IP] = peerState{id: m.ID, heardAt: h.host.Now()}
 			}
 		})
 		// Most of it is handed over before orders have to wait for it.
@@ -421,7 +421,7 @@
 func (h *Server) stayingPeers() []string {
 	var out []string
 	now := h.host.Now()
-	for ip, o := range h.peers {
+	for ip, o := range h.peers.byIP {
 		if !o.leaving && now-o.heardAt < h.host.Heartbeats(2) {
 			out = append(out, ip)
 		}
@@ -432,7 +432,7 @@
 // standbyCount counts those that stay and have no vote; it runs on the desk.
 func (h *Server) standbyCount() (n int) {
 	for _, ip := range h.stayingPeers() {
-		if !h.acceptor.State.IsVoter(h.peers[ip].id) {
+		if !h.acceptor.State.IsVoter(h.peers.byIP[ip].id) {
 			n++
 		}
 	}
@@ -451,11 +451,11 @@
 			s := h.acceptor.State
 			leaving, held := 0, 0
 			for _, v := range s.Voters {
-				o := h.peers[v.IP]
+				o := h.peers.byIP[v.IP]
 				switch {
 				case v.ID == h.acceptor.ID && h.host.Draining.Load(), v.ID != h.acceptor.ID && o.id == v.ID && o.leaving:
 					leaving++
-				case v.ID == h.acceptor.ID, o.id == v.ID && h.handoff.Holds(v.IP, slot):
+				case v.ID == h.acceptor.ID, o.id == v.ID && h.peers.handoff.Holds(v.IP, slot):
 					held++
 				}
 			}
@@ -486,7 +486,7 @@
 	at := func(ratio float64) time.Time { return start.Add(time.Duration(float64(grace) * ratio)) }
 	h.loop.Call(h.notifyWatchers)
 	h.finishAccepted(at(0.15))
-	h.resignLease()
+	h.pollLease.resign()
 	h.handOffAll(at(0.5))
 	h.closing.Store(true)
 	for h.ordersInFlight.Load() > 0 && time.Now().Before(at(0.58)) {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -135,7 +135,7 @@
 				say.DurableSlot = h.sendState(ip, say.DurableSlot, h.host.Heartbeats(1))
 			}
 			if err == nil && say.DurableSlot >= 0 {
-				h.loop.Submit(func() { h.handoff.OnAcknowledged(ip, say.DurableSlot) })
+				h.loop.Submit(func() { h.peers.handoff.OnAcknowledged(ip, say.DurableSlot) })
 			}
 			if err != nil || say.DurableSlot < s.Slot {
 				h.resendState(ip, s)
--- a/internal/control/purge.go
+++ b/internal/control/purge.go
@@ -188,7 +188,7 @@
 			for ip, r := range h.peerRosters {
 				for _, f := range r.Fronts {
 					if f.CacheNode && f.IP == l.IP {
-						at = max(at, h.peers[ip].heardAt)
+						at = max(at, h.peers.byIP[ip].heardAt)
 					}
 				}
 			}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -235,7 +235,7 @@
 	own := c.totals.OwnTotals()
 	if !h.pollLease.Holds(now) {
 		c.withoutLeaseAt = now
-		for ip, o := range h.peers {
+		for ip, o := range h.peers.byIP {
 			if o.id == h.pollLease.ObservedHolder {
 				to = ip
 			}
@@ -279,10 +279,10 @@
 // capacity counts the slots of the new version's warm searchers, and those of
 // the old version's; it runs on the desk.
 func (h *Server) capacity(r consensus.Rollout) (ready, old int) {
-	if h.table == nil {
+	if h.tables.current == nil {
 		return 0, 0
 	}
-	for _, s := range h.table.Endpoints {
+	for _, s := range h.tables.current.Endpoints {
 		if s.Service != r.Service || s.Draining {
 			continue
 		}
@@ -409,8 +409,8 @@
 		}
 		if o.FromVersion = old.ActiveVersion(); !known {
 			h.loop.Call(func() {
-				if h.table != nil {
-					o.FromVersion = h.table.InitialVersions[o.Service]
+				if h.tables.current != nil {
+					o.FromVersion = h.tables.current.InitialVersions[o.Service]
 				}
 			})
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -16,7 +16,6 @@
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
 	"swiftswitch/internal/events"
-	"swiftswitch/internal/handoff"
 	"swiftswitch/internal/host"
 	"swiftswitch/internal/lease"
 	"swiftswitch/internal/membership"
@@ -45,35 +44,24 @@
 	durabilityWaiters []durabilityWaiter
 	// stateDeltas holds news for those behind, by the slot they are at.
 	stateDeltas map[int64]*nodeapi.StateDelta
-	table       *endpoints.Table
+	// tables holds the endpoint table.
+	tables *tableController
 	// pastBodies holds the last few configurations, packed what was made of them
 	// for who holds which of them.
 	pastBodies     []records.Body
 	packedVersions map[int64]packedVersion
-	// pastTables holds the last few tables, to tell what changed since them.
-	pastTables  []*endpoints.Table
-	tableDeltas map[endpoints.Stamp][]byte
-	// voter grants leases on duties; duty is this node's part in the one there is.
-	voter     *lease.Voter
-	pollLease *lease.Candidate
-	// actingEpoch is the epoch under which this node has the duty, 0: it has not;
-	// unfit: it could not have it.
-	actingEpoch int64
-	ineligible  bool
-	// leaseRequests holds the voters that a bid is under way to, tables what they held by address.
-	leaseRequests map[string]bool
-	grantorTables map[string]grantorTable
-	// leaseAcquired and released wake the duty's controllers.
-	leaseAcquired, leaseReleased chan struct{}
-	handoff                      *handoff.Tracker
-	detector                     *membership.FailureDetector
-	fronts                       map[string]frontState
+	// pollLease campaigns for the lease of the poller role and grants it; poller
+	// polls the platform while this node holds that lease.
+	pollLease *leaseController
+	poller    *discoveryPoller
+	// peers holds what is known of the other control nodes.
+	peers  peerTable
+	fronts map[string]frontState
 	// frontCount is how many fronts there are, before what an earlier life counted.
 	frontCount, inheritedFrontCount int
 	frontsCountedAt                 time.Duration
 	// persistedFrontCount is the count on disk.
 	persistedFrontCount int
-	peers               map[string]peerState
 	changed             chan struct{}
 	// rosterRevision numbers the states of the roll of nodes that watch this hut
 	// first; rolls holds those of the other huts.
@@ -119,12 +107,12 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Server{host: n, store: cel, loop: commandloop.New(), handoff: handoff.NewTracker(), fronts: map[string]frontState{}, peers: map[string]peerState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*nodeapi.StateDelta{}, tableDeltas: map[endpoints.Stamp][]byte{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}},
-		leaseRequests: map[string]bool{}, grantorTables: map[string]grantorTable{}, leaseAcquired: make(chan struct{}, 1), leaseReleased: make(chan struct{}, 1)}
+	h := &Server{host: n, store: cel, loop: commandloop.New(), fronts: map[string]frontState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*nodeapi.StateDelta{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}}}
 	leases := map[string]lease.Record{}
 	var id string
 	var terms rollout.Noted
-	err = records.Load(cel, map[string]any{records.KeyTerms: &terms, records.KeyIdentity: &id, records.KeyLeases: &leases, records.KeyTable: &h.table, records.KeyFrontCount: &h.inheritedFrontCount, records.KeyIncarnation: &h.incarnation})
+	var table *endpoints.Table
+	err = records.Load(cel, map[string]any{records.KeyTerms: &terms, records.KeyIdentity: &id, records.KeyLeases: &leases, records.KeyTable: &table, records.KeyFrontCount: &h.inheritedFrontCount, records.KeyIncarnation: &h.incarnation})
 	if err != nil {
 		return nil, err
 	}
@@ -158,16 +146,12 @@
 	h.packedValue, h.highestRound = packed, h.acceptor.Promised.Round
 	h.bootID = rand.Int64N(1<<40) << 10
 	h.unreachable.revision = h.bootID
-	h.detector, h.persistedFrontCount = membership.NewFailureDetector(n.Heartbeats(1), n.Now()), h.inheritedFrontCount
-	h.ineligible = true // until it has heard a majority
-	leaseDuration := n.Heartbeats(1.25)
-	h.voter = lease.NewVoter(id, leaseDuration, leases, h.acceptor.State.VotersSlot, h.acceptor.State.IsVoter(id), n.Now())
-	h.pollLease = lease.NewCandidate(PollerRole, id, leaseDuration, n.Now())
-	h.pollLease.SetIncarnation(h.incarnation)
-	h.pollLease.ObserveEpoch(leases[PollerRole].Epoch, leases[PollerRole].Holder)
-	if h.table != nil {
-		h.pollLease.ObserveEpoch(h.table.Stamp.Epoch, h.table.Stamp.Holder)
-	}
+	h.persistedFrontCount = h.inheritedFrontCount
+	h.peers = newPeerTable(membership.NewFailureDetector(n.Heartbeats(1), n.Now()))
+	h.tables = newTableController(h, table)
+	h.pollLease = newLeaseController(h, leases)
+	h.tables.candidate = h.pollLease.Candidate
+	h.poller = newDiscoveryPoller(h)
 	h.handlers = h.internalAPI()
 	h.applyVoters()
 	h.rollouts = newRolloutController(terms, n.Now())
@@ -197,8 +181,8 @@
 
 func (h *Server) Start() {
 	go h.heartbeatLoop()
-	go h.leaseLoop()
-	go h.pollLoop()
+	go h.pollLease.run()
+	go h.poller.run()
 	go h.joinLoop()
 	go h.finishAcceptedLoop()
 	go h.purgeLoop()
@@ -212,7 +196,7 @@
 		ids = append(ids, v.ID)
 	}
 	slices.Sort(ids)
-	h.detector.SetVoters(ids, h.host.Now())
+	h.peers.detector.SetVoters(ids, h.host.Now())
 	h.pollLease.SetVoters(h.acceptor.State.VotersSlot, ids)
 }
 
@@ -232,7 +216,7 @@
 		h.versionLearnedAt = h.host.Now()
 	}
 	h.applyVoters()
-	h.voter.SetVoters(s.VotersSlot, s.IsVoter(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.Now())
+	h.pollLease.voter.SetVoters(s.VotersSlot, s.IsVoter(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.Now())
 	h.applyRollouts()
 	h.persistState()
 	h.packedValue = nil
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -63,7 +63,7 @@
 		st.Isolated, st.Incarnation, st.DurableSlot, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.DurableSlot(), s.VotersSlot
 		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.AcceptedBallot.String()
 		st.RememberedChanges, st.AppliedChanges = len(s.AppliedChanges), s.AppliedCount
-		for _, o := range h.peers {
+		for _, o := range h.peers.byIP {
 			if now-o.heardAt < h.host.Heartbeats(2) {
 				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
 			}
@@ -72,8 +72,8 @@
 		if sent, ok := h.pollLease.LeaseStart(); ok && st.HoldsLease {
 			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
 		}
-		if h.table != nil {
-			st.TableStamp, st.Endpoints = h.table.Stamp, len(h.table.Endpoints)
+		if h.tables.current != nil {
+			st.TableStamp, st.Endpoints = h.tables.current.Stamp, len(h.tables.current.Endpoints)
 		}
 		for name, f := range h.fronts {
 			st.FrontSlots[name] = f.slot
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -114,12 +114,12 @@
 		say.UnreachableOrdinals = h.unreachable.current(now, h.host.Heartbeats(2))
 		news = news || len(say.UnreachableOrdinals) > 0
 	}
-	if h.table != nil {
-		say.Stamp = h.table.Stamp
-		if m.Stamp.Before(h.table.Stamp) {
+	if h.tables.current != nil {
+		say.Stamp = h.tables.current.Stamp
+		if m.Stamp.Before(h.tables.current.Stamp) {
 			news = true
 			if !m.OmitTable && !m.Locate {
-				say.Delta = h.tableDelta(m.Stamp)
+				say.Delta = h.tables.delta(m.Stamp)
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 	if ip == h.host.Settings().IpAddress {
 		return h.host.Settings().Zone
 	}
-	return h.peers[ip].zone
+	return h.peers.byIP[ip].zone
 }
 
 // frontRoster lists the fronts that watch this hut first; it runs on the desk.
@@ -171,7 +171,7 @@
 func (h *Server) roster(now time.Duration, but string) []relay.Front {
 	all := h.frontRoster().Fronts
 	for ip, r := range h.peerRosters {
-		if now-h.peers[ip].heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
+		if now-h.peers.byIP[ip].heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
 			all = append(all, r.Fronts...)
 		}
 	}
@@ -227,7 +227,7 @@
 			if f.CacheNode {
 				continue
 			}
-			if at := h.peers[ip].heardAt; at > h.knownFronts[f.Name].heardAt {
+			if at := h.peers.byIP[ip].heardAt; at > h.knownFronts[f.Name].heardAt {
 				h.knownFronts[f.Name] = knownFront{at, f.Zone}
 			}
 		}
