--- a/internal/cusum/barometer.go
+++ b/internal/cusum/barometer.go
@@ -37,15 +37,15 @@
 		name           string
 		v, least, most float64
 	}{
-		{"chart-k", o.ReferenceValue, 0, 5}, {"chart-start", o.InitialLimit, 0.1, 100}, {"chart-rise", o.LimitRise, -5, 5},
-		{"chart-knot", float64(o.KneeRunLength), 0, 1000}, {"chart-fall", o.LimitFall, -5, 5}, {"chart-shewhart", o.ShewhartLimit, 0, 100},
+		{"chart-reference-value", o.ReferenceValue, 0, 5}, {"chart-initial-limit", o.InitialLimit, 0.1, 100}, {"chart-limit-rise", o.LimitRise, -5, 5},
+		{"chart-knee-run-length", float64(o.KneeRunLength), 0, 1000}, {"chart-limit-fall", o.LimitFall, -5, 5}, {"chart-shewhart-limit", o.ShewhartLimit, 0, 100},
 	} {
 		if !(r.v >= r.least && r.v <= r.most) {
 			return fmt.Errorf("--%s is %v: it must be between %v and %v", r.name, r.v, r.least, r.most)
 		}
 	}
 	if o.Limit(max(1, o.KneeRunLength)) <= 0 {
-		return errors.New("--chart-start, --chart-rise and --chart-knot give a limit that is not above 0")
+		return errors.New("--chart-initial-limit, --chart-limit-rise and --chart-knee-run-length give a limit that is not above 0")
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/host/bounds.go
@@ -0,0 +1,94 @@
+package host
+
+import (
+	"time"
+
+	"swiftswitch/internal/config"
+	"swiftswitch/internal/rollout"
+	"swiftswitch/internal/transport"
+)
+
+// Ratios of the settings' bounds that time-outs are derived from. The bound
+// that each is a ratio of stands at the method that uses it.
+const (
+	tcpUserTimeoutRatio  = 0.5
+	longPollRatio        = 0.75
+	unreachableTTLRatio  = 0.5
+	majorityTimeoutRatio = 0.4
+	readTimeoutRatio     = 2
+)
+
+const (
+	// maxInternalHeaderBytes bounds the header of a call between nodes.
+	maxInternalHeaderBytes = 64 << 10
+	// defaultMemoryMb is assumed where the settings give no memory limit. A
+	// message may take one part in messageMemoryParts of the memory.
+	defaultMemoryMb    = 256
+	messageMemoryParts = 32
+)
+
+// TCPUserTimeout is how long sent bytes may stay unacknowledged before the
+// kernel ends the connection; a ratio of InTouchMs.
+func (h *Host) TCPUserTimeout() time.Duration {
+	return config.Milliseconds(h.Settings().Bounds.InTouchMs, tcpUserTimeoutRatio)
+}
+
+// LongPollTimeout bounds how long a long poll is held; a ratio of InTouchMs
+// below 1, so that one that was lost ends before the machine counts as in touch
+// again.
+func (h *Host) LongPollTimeout() time.Duration {
+	return config.Milliseconds(h.Settings().Bounds.InTouchMs, longPollRatio)
+}
+
+// UnreachableTTL is how long a report that an endpoint does not answer keeps
+// requests away from it; a ratio of InTouchMs.
+func (h *Host) UnreachableTTL() time.Duration {
+	return config.Milliseconds(h.Settings().Bounds.InTouchMs, unreachableTTLRatio)
+}
+
+// MajorityTimeout is how long a front may be without an answer from a control
+// node in touch with a majority before it keeps to versions whose rollout has
+// ended; a ratio of RollbackMs, or of InTouchMs where that is not set.
+func (h *Host) MajorityTimeout() time.Duration {
+	bounds := h.Settings().Bounds
+	if bounds.RollbackMs > 0 {
+		return config.Milliseconds(bounds.RollbackMs, majorityTimeoutRatio)
+	}
+	return config.Milliseconds(bounds.InTouchMs, majorityTimeoutRatio)
+}
+
+// PurgeTime returns a ratio of the time that a purge may take to reach every
+// cache: PurgeMs, or ConfigEffectMs where that is not set.
+func (h *Host) PurgeTime(ratio float64) time.Duration {
+	bounds := h.Settings().Bounds
+	if bounds.PurgeMs > 0 {
+		return config.Milliseconds(bounds.PurgeMs, ratio)
+	}
+	return config.Milliseconds(bounds.ConfigEffectMs, ratio)
+}
+
+// RolloutExposure is how many requests may be sent to a bad version.
+func (h *Host) RolloutExposure() rollout.Exposure {
+	bounds := h.Settings().Bounds
+	return rollout.Exposure{Share: bounds.ExposureShare, Slack: bounds.ExposureSlack}
+}
+
+// MaxMessageBytes bounds a message between nodes, unpacked or not.
+func (h *Host) MaxMessageBytes() int {
+	memoryMb := h.Settings().Limits.MemoryMb
+	if memoryMb <= 0 {
+		memoryMb = defaultMemoryMb
+	}
+	return int(memoryMb * (1 << 20) / messageMemoryParts)
+}
+
+// ServerOptions are the limits of a listener for other nodes.
+func (h *Host) ServerOptions(idleTimeout time.Duration) transport.ServerOptions {
+	return transport.ServerOptions{
+		MaxHeaderBytes: maxInternalHeaderBytes,
+		MaxBodyBytes:   h.MaxMessageBytes(),
+		ReadTimeout:    config.Milliseconds(h.Settings().Bounds.InTouchMs, readTimeoutRatio),
+		IdleTimeout:    idleTimeout,
+		TCPUserTimeout: h.TCPUserTimeout(),
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,12 +38,25 @@
 	front   *front.Server
 }
 
+// ExitCode is the exit status of a process that ran a node.
+type ExitCode int
+
+// The exit codes of a node.
+const (
+	// ExitOK is that of a node that drained after a signal.
+	ExitOK ExitCode = 0
+	// ExitInvalidSettings is that of a node whose settings can't be loaded.
+	ExitInvalidSettings ExitCode = 2
+	// ExitStartFailed is that of a node that can't use its disk.
+	ExitStartFailed ExitCode = 3
+)
+
 // Run is the life of a node; it returns the process's exit code.
-func Run(path, dir string, options host.Options) int {
+func Run(path, dir string, options host.Options) ExitCode {
 	s, err := config.LoadSettings(path)
 	if err != nil {
 		events.Log(events.SettingsInvalid, "err", err)
-		return 2
+		return ExitInvalidSettings
 	}
 	if dir != "" {
 		s.DataDirectory = dir
@@ -52,14 +65,14 @@
 	n, err := Open(s, path, options)
 	if err != nil {
 		events.Log(events.SettingsInvalid, "err", err)
-		return 3
+		return ExitStartFailed
 	}
 	if n.Start() {
 		events.Log(events.Started, "node", s.NodeName, "role", s.Role, "zone", s.Zone, "control", n.control != nil, "front", n.front != nil)
 	}
 	n.handleSignals()
 	events.Log(events.Stopped)
-	return 0
+	return ExitOK
 }
 
 // Open makes a node of its settings; Start runs it.
