--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -315,6 +315,11 @@
 
 // Operate sends a call of the operator to node n.
 func (w *Cluster) Operate(n int, method, path, match, body string) (int, string) {
+	status, _, text := w.operate(n, method, path, match, body)
+	return status, text
+}
+
+func (w *Cluster) operate(n int, method, path, match, body string) (int, http.Header, string) {
 	req, _ := http.NewRequest(method, fmt.Sprintf("http://%s:8090%s", w.IP(n), path), strings.NewReader(body))
 	if n >= 10 {
 		req.URL.Host = fmt.Sprintf("%s:%d", w.IP(n), w.Port)
@@ -324,11 +329,11 @@
 	}
 	resp, err := (&http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
-		return 0, err.Error()
+		return 0, nil, err.Error()
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(b)
+	return resp.StatusCode, resp.Header, string(b)
 }
 
 var requestNumber int
@@ -488,9 +493,21 @@
 	}
 }
 
-// StartRollout sends an order for the plain service and tells its status.
+// orderRetryTime is for how long an order is sent again that is put off with a 503.
+const orderRetryTime = 5 * time.Second
+
+// StartRollout orders a rollout of the plain service and returns the status of
+// the answer. As callers do, it sends the order again when the node puts it off
+// with a 503 and a Retry-After: a node that got no processor time for a while
+// rejects an order that may have waited in its sockets as long.
 func (w *Cluster) StartRollout(n int, target string, seconds float64) (int, string) {
-	return w.Operate(n, "POST", "/-/rollouts", "", fmt.Sprintf(`{"Service":"plain","TargetVersion":%q,"DurationS":%v}`, target, seconds))
+	order := fmt.Sprintf(`{"Service":"plain","TargetVersion":%q,"DurationS":%v}`, target, seconds)
+	for deadline := time.Now().Add(orderRetryTime); ; time.Sleep(50 * time.Millisecond) {
+		status, header, body := w.operate(n, "POST", "/-/rollouts", "", order)
+		if status != 503 || header.Get("Retry-After") == "" || time.Now().After(deadline) {
+			return status, body
+		}
+	}
 }
 
 // Rollout reads how far the plain service's order is.
