--- a/internal/cachenode/fetcher.go
+++ b/internal/cachenode/fetcher.go
@@ -48,7 +48,7 @@
 	QuotaShare() (part float64, ok bool)
 	// PickEndpoint picks a searcher for a request of the node's own and
 	// tells when to send it.
-	PickEndpoint(service string, target time.Duration) (*upstream.Peer, time.Time)
+	PickEndpoint(service string, target time.Duration) (*upstream.Endpoint, time.Time)
 	// ListedAsCacheNode tells whether the agreed list of cache nodes holds this one.
 	ListedAsCacheNode() bool
 	// ControlIPs are the control nodes that the front server knows.
@@ -61,7 +61,7 @@
 	host  *host.Host
 	front Front
 	// endpoints carries the attempts out, purges knows which objects are invalid.
-	endpoints *upstream.Range
+	endpoints *upstream.Pool
 	purges    *frontend.Pantry
 
 	mu            sync.Mutex
@@ -76,7 +76,7 @@
 
 // NewFetcher makes the fetcher of a front or cache node; its objects may take
 // maxBytes. It starts with Run.
-func NewFetcher(h *host.Host, front Front, endpoints *upstream.Range, purges *frontend.Pantry, maxBytes int) *Fetcher {
+func NewFetcher(h *host.Host, front Front, endpoints *upstream.Pool, purges *frontend.Pantry, maxBytes int) *Fetcher {
 	return &Fetcher{
 		host: h, front: front, endpoints: endpoints, purges: purges, name: host.RandomID(),
 		objects: cache.NewShelf(maxBytes),
@@ -207,19 +207,19 @@
 		return
 	}
 	left := until - k.host.Now()
-	ask := upstream.Read(id, f.Host, f.Target, etag)
-	ask.Aim = aim
-	o := k.endpoints.Try(peer, ask, start, time.Now().Add(left))
+	ask := upstream.NewFetchRequest(id, f.Host, f.Target, etag)
+	ask.LatencyTarget = aim
+	o := k.endpoints.Do(peer, ask, start, time.Now().Add(left))
 	defer o.Release()
 	switch {
-	case o.Verdict == upstream.Answered && o.Status == 304 && old != nil:
+	case o.Outcome == upstream.OutcomeAnswered && o.Status == 304 && old != nil:
 		k.onFetched(f, old.Confirmed(f.Began, f.Known), nil)
-	case o.Good() && o.Status == 200 && len(o.Resp.Header.Peek("ETag")) > 0:
+	case o.Succeeded() && o.Status == 200 && len(o.Response.Header.Peek("ETag")) > 0:
 		k.onFetched(f, k.objectOf(f, &o), nil)
-	case o.Verdict == upstream.Answered && (o.Good() || o.Status >= 300) && o.Status < 500 && o.Status != 304 && o.Status != 429:
+	case o.Outcome == upstream.OutcomeAnswered && (o.Succeeded() || o.Status >= 300) && o.Status < 500 && o.Status != 304 && o.Status != 429:
 		c := k.objectOf(f, &o)
 		k.onFetched(f, nil, &cache.Passed{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
-	case o.Verdict == upstream.NotRun:
+	case o.Outcome == upstream.OutcomeUnprocessed:
 		k.onFailed(f, 503, "the searcher is full")
 	default:
 		k.onFailed(f, 502, "no whole answer")
@@ -227,13 +227,13 @@
 }
 
 // objectOf takes the searcher's answer as a copy.
-func (k *Fetcher) objectOf(f *cache.Flight, o *upstream.Outcome) *cache.Copy {
+func (k *Fetcher) objectOf(f *cache.Flight, o *upstream.Attempt) *cache.Copy {
 	c := &cache.Copy{Host: f.Host, Target: f.Target, Service: f.Service, Stamp: o.Stamp, Born: f.Began, Known: f.Known}
-	c.Body = append([]byte(nil), o.Resp.Body()...)
-	o.Resp.Header.VisitAll(func(key, val []byte) {
+	c.Body = append([]byte(nil), o.Response.Body()...)
+	o.Response.Header.VisitAll(func(key, val []byte) {
 		name, v := string(key), string(val)
 		switch name {
-		case "Content-Length", "Swiftswitch-Request-Id", upstream.HeaderStamp, upstream.HeaderInstance, upstream.HeaderLoad, "Content-Range":
+		case "Content-Length", "Swiftswitch-Request-Id", upstream.HeaderServerStamp, upstream.HeaderInstanceID, upstream.HeaderServerLoad, "Content-Range":
 			return
 		case "ETag", "Etag":
 			c.ETag = v
@@ -241,7 +241,7 @@
 		case cache.HeaderTags:
 			c.Tags = cache.SplitTags(v)
 		}
-		if !upstream.IsHop(name) {
+		if !upstream.IsHopByHop(name) {
 			c.Fields = append(c.Fields, cache.Field{Name: name, Value: v})
 		}
 	})
@@ -336,7 +336,7 @@
 
 // expectedWait is about how long it takes until a fetch has ended; it runs under the lock.
 func (k *Fetcher) expectedWait(f *cache.Flight, now time.Duration) time.Duration {
-	typical, _ := k.endpoints.Latency(f.Service)
+	typical, _ := k.endpoints.LatencyPercentiles(f.Service)
 	if f.Running {
 		return max(0, f.Began+typical-now)
 	}
--- a/internal/front/cache.go
+++ b/internal/front/cache.go
@@ -48,7 +48,7 @@
 	}
 	t.cacheNodes.Store(now)
 	if t.cacheNode {
-		t.endpoints.SetShare(upstream.Fronts{All: len(list)})
+		t.endpoints.SetFrontCounts(upstream.FrontCounts{All: len(list)})
 	}
 }
 
@@ -125,9 +125,9 @@
 	}
 	order := slices.Clone(l.list)
 	key, now := cache.Key(w.Host, w.Target), time.Now()
-	score := func(x consensus.CacheNode) uint64 { return upstream.Draw(x.IP + "\n" + key) }
+	score := func(x consensus.CacheNode) uint64 { return upstream.HashString(x.IP + "\n" + key) }
 	slices.SortFunc(order, func(a, b consensus.CacheNode) int {
-		return cmp.Or(cmp.Compare(t.cacheNodeHealth.Out(a.IP, now), t.cacheNodeHealth.Out(b.IP, now)), cmp.Compare(score(b), score(a)))
+		return cmp.Or(cmp.Compare(t.cacheNodeHealth.EjectionRank(a.IP, now), t.cacheNodeHealth.EjectionRank(b.IP, now)), cmp.Compare(score(b), score(a)))
 	})
 	for at := 0; ; {
 		left := time.Until(deadline)
--- a/internal/front/internal_api.go
+++ b/internal/front/internal_api.go
@@ -27,7 +27,7 @@
 
 // handleRelay gathers shards for a front in another zone.
 func (t *Server) handleRelay(c *app.RequestContext) {
-	var request relay.Ask
+	var request relay.Request
 	if !transport.ReadJSON(c, &request) {
 		return
 	}
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -136,7 +136,7 @@
 }
 
 // PickEndpoint picks a searcher for a request of this node's own, as its lane allows.
-func (t *Server) PickEndpoint(service string, aim time.Duration) (*upstream.Peer, time.Time) {
+func (t *Server) PickEndpoint(service string, aim time.Duration) (*upstream.Endpoint, time.Time) {
 	var l *rollout.Lane
 	if s := t.frontend.Current(); s != nil {
 		l = s.Lanes[service]
@@ -147,7 +147,7 @@
 		if version == "" && i != 1 {
 			continue
 		}
-		if p, start := t.endpoints.Choose(upstream.Among{Service: service, Version: version}, nil, aim, false); p != nil {
+		if p, start := t.endpoints.Pick(upstream.Selector{Service: service, Version: version}, nil, aim, false); p != nil {
 			return p, start
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // recordAttempt counts a try at a service with a rollout under way.
-func (t *Server) recordAttempt(p *upstream.Peer, r *upstream.Request, o *upstream.Outcome) {
+func (t *Server) recordAttempt(p *upstream.Endpoint, r *upstream.Request, o *upstream.Attempt) {
 	ws := t.rollouts.observed.Load()
 	if ws == nil {
 		return
@@ -164,30 +164,30 @@
 	if !ok || p.Version != w.from && p.Version != w.target {
 		return
 	}
-	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Far()}
+	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Distance()}
 	if c.New {
 		if c.Who = p.Ordinal; w.aggregateEndpoints {
 			c.Who = p.Ordinal % maxTrackedEndpoints
 		}
 	}
-	if s, ok := attemptSample(o, r.Aim); ok {
+	if s, ok := attemptSample(o, r.LatencyTarget); ok {
 		t.rollouts.recorder.Record(c, s)
 	}
 }
 
 // attemptSample is what one try tells of a version. A try that had less time than the
 // aim tells nothing by its end.
-func attemptSample(o *upstream.Outcome, aim time.Duration) (rollout.Sum, bool) {
+func attemptSample(o *upstream.Attempt, aim time.Duration) (rollout.Sum, bool) {
 	late := errors.Is(o.Err, os.ErrDeadlineExceeded) || errors.Is(o.Err, context.DeadlineExceeded) || o.Status == 504
-	if late && o.Took < aim {
+	if late && o.Duration < aim {
 		return rollout.Sum{}, false
 	}
 	s := rollout.Sum{N: 1}
 	switch {
-	case o.Verdict != upstream.Answered || o.Status >= 500 || o.Status < 300 && o.Stamp == "":
+	case o.Outcome != upstream.OutcomeAnswered || o.Status >= 500 || o.Status < 300 && o.Stamp == "":
 		s.Bad = 1
-	case !o.Cold && o.Took > 0:
-		x := math.Log(float64(o.Took) / float64(time.Millisecond))
+	case !o.WarmingUp && o.Duration > 0:
+		x := math.Log(float64(o.Duration) / float64(time.Millisecond))
 		s.Timed, s.Log, s.Square = 1, x, x*x
 	}
 	return s, true
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -38,18 +38,18 @@
 	options host.Options
 	loop    *commandloop.Loop
 
-	endpoints   *upstream.Range
+	endpoints   *upstream.Pool
 	retryBudget *ratelimit.Ledger
 	frontend    *frontend.Head
 	pool        *ants.Pool
-	relays      *relay.Choice
+	relays      *relay.Balancer
 	ready       atomic.Bool
 	// cacheNode: the node serves no clients, it keeps copies.
 	cacheNode       bool
 	cacheHandler    *frontend.Pantry
 	fetcher         *cachenode.Fetcher
 	cacheNodes      atomic.Pointer[cacheNodeList]
-	cacheNodeHealth *relay.Choice
+	cacheNodeHealth *relay.Balancer
 	// majorityHeardAt is when a hut last answered; fronts is how many fronts there are.
 	majorityHeardAt atomic.Int64
 	frontCount      atomic.Int64
@@ -64,7 +64,7 @@
 	// others; bad are those that did not answer, until when.
 	watchTargets      []string
 	unresponsiveUntil map[string]time.Duration
-	frontCounts       map[string]upstream.Fronts
+	frontCounts       map[string]upstream.FrontCounts
 	// progress is what the watchers tell the huts that this node holds.
 	progress atomic.Pointer[progress]
 	fetching atomic.Bool
@@ -101,12 +101,12 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Server{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.Fronts{}, endpointMissed: make(chan struct{}, 1)}
+	t := &Server{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.FrontCounts{}, endpointMissed: make(chan struct{}, 1)}
 	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), Idle: config.Milliseconds(b.InTouchMs, 3)}
 	t.endpoints = upstream.New(upstream.Options{
-		Distance: n.Distance, UserTimeout: n.TCPUserTimeout(), DialWithin: config.Milliseconds(b.InTouchMs, 0.125), MaxBody: n.MaxMessageBytes(),
-		KeepIdle: config.Milliseconds(b.InTouchMs, 1), Settle: config.Milliseconds(b.InTouchMs, 0.05), FailsOut: 3, OutFor: config.Milliseconds(b.InTouchMs, 0.2),
-		FarPenalty: opt.RemoteZonePenalty, Many: 5, Self: s.NodeName, Forget: config.Milliseconds(b.InTouchMs, 0.75),
+		Distance: n.Distance, TCPUserTimeout: n.TCPUserTimeout(), DialTimeout: config.Milliseconds(b.InTouchMs, 0.125), MaxBodyBytes: n.MaxMessageBytes(),
+		IdleTimeout: config.Milliseconds(b.InTouchMs, 1), SettleTime: config.Milliseconds(b.InTouchMs, 0.05), ConsecutiveFailures: 3, BaseEjectionTime: config.Milliseconds(b.InTouchMs, 0.2),
+		DistancePenalty: opt.RemoteZonePenalty, TwoChoicesThreshold: 5, NodeName: s.NodeName, DecayTime: config.Milliseconds(b.InTouchMs, 0.75),
 	})
 	t.retryBudget = ratelimit.New(ratelimit.Rules{
 		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.RetryBudgetUse, Young: 0.3,
@@ -114,8 +114,8 @@
 	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.Now, HedgeAt: opt.HedgeAfter}
 	t.frontend = frontend.New(frontend.Options{Soft: opt.PartialAnswerAfter, Hard: 0.97, Late: opt.LateAnswerValue, RetryIn: 0.25, WriteWithin: n.TCPUserTimeout(), Hold: n.Heartbeats(0.5), Crowd: opt.OverloadFactor, Clock: t.clock, Deaf: n.MajorityTimeout()}, guide)
 	if opt.Relay {
-		t.relays = relay.NewChoice(n.Heartbeats(1))
-		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error {
+		t.relays = relay.NewBalancer(n.Heartbeats(1))
+		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Request, say *relay.Response, within time.Duration) error {
 			err := n.Client.CallJSON(n.Settings().InternalAddress(ip), nodeapi.PathRelay, ask, say, within)
 			if err != nil {
 				// Others may do better.
@@ -125,7 +125,7 @@
 		})
 	}
 	t.cacheNode = opt.Role == host.RoleCache
-	t.cacheNodeHealth = relay.NewChoice(n.Heartbeats(1))
+	t.cacheNodeHealth = relay.NewBalancer(n.Heartbeats(1))
 	memory := s.Limits.MemoryMb * (1 << 20)
 	if memory <= 0 {
 		memory = 256 << 20
@@ -141,15 +141,15 @@
 		R: opt.MaxSlotHolders, Least: 2, Lease: n.Heartbeats(opt.SlotLeaseHeartbeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.LayoutSwitchWait),
 	})
 	t.progress.Store(&progress{slot: -1, purge: -1, rolloutSlot: -1})
-	t.endpoints.Full = func(id string) {
+	t.endpoints.OnHealthy = func(id string) {
 		t.loop.Submit(func() { t.layouts.Answered(id, n.Now()); t.advanceLayouts() })
 	}
-	t.endpoints.Silent = func(id string) {
+	t.endpoints.OnUnhealthy = func(id string) {
 		t.loop.Submit(func() { t.layouts.Silent(id, n.Now()); t.advanceLayouts() })
 	}
 	t.rollouts.reset()
-	t.endpoints.Seen = t.recordAttempt
-	t.endpoints.Miss = func() {
+	t.endpoints.OnAttempt = t.recordAttempt
+	t.endpoints.OnUnreachable = func() {
 		select {
 		case t.endpointMissed <- struct{}{}:
 		default:
@@ -199,7 +199,7 @@
 		if now < t.unresponsiveUntil[h.IP] {
 			bad = 1
 		}
-		return bad, n.Distance(h.Zone), upstream.Draw(n.Settings().NodeName + " " + h.IP)
+		return bad, n.Distance(h.Zone), upstream.HashString(n.Settings().NodeName + " " + h.IP)
 	}
 	slices.SortFunc(order, func(a, b nodeapi.ControlNode) int {
 		ab, ad, ah := rank(a)
@@ -247,7 +247,7 @@
 		h := t.progress.Load()
 		ask := nodeapi.WatchRequest{
 			Name: n.Settings().NodeName, IP: n.Settings().IpAddress, Slot: h.slot, PurgeSeq: h.purge, RolloutSlot: h.rolloutSlot, Stamp: h.stamp, OmitTable: brief && !first,
-			Zone: n.Settings().Zone, Ready: t.ready.Load() && !n.Draining.Load(), UnreachableCount: t.endpoints.Out(), MaxHoldMs: hold.Milliseconds(),
+			Zone: n.Settings().Zone, Ready: t.ready.Load() && !n.Draining.Load(), UnreachableCount: t.endpoints.UnhealthyCount(), MaxHoldMs: hold.Milliseconds(),
 			Primary: first, IsCacheNode: t.cacheNode, WantRoster: first && t.rosterDue(), Locate: !t.locatedControl.Load(), UnreachableRevision: t.unreachableRevision.Load(),
 		}
 		var say nodeapi.WatchResponse
@@ -340,11 +340,11 @@
 	if say.Roster != nil {
 		t.rosterAskedAt.Store(int64(t.host.Now()))
 		if t.relays != nil {
-			t.relays.Set(say.Roster, t.host.Settings().NodeName)
+			t.relays.SetFronts(say.Roster, t.host.Settings().NodeName)
 		}
 	}
 	if len(say.UnreachableOrdinals) > 0 && t.options.ShareUnreachable {
-		t.endpoints.Tell(say.UnreachableOrdinals, time.Now().Add(t.host.UnreachableTTL()))
+		t.endpoints.MarkUnreachable(say.UnreachableOrdinals, time.Now().Add(t.host.UnreachableTTL()))
 	}
 	if len(t.watchTargets) > 0 && t.watchTargets[0] == ip {
 		t.unreachableRevision.Store(say.UnreachableRevision)
@@ -363,8 +363,8 @@
 		t.onRollouts(say)
 	}
 	delete(t.unresponsiveUntil, ip)
-	t.frontCounts[ip] = upstream.Fronts{All: say.FrontCount, Region: say.FrontsInRegion, Zone: say.FrontsInZone}
-	most := upstream.Fronts{All: 1}
+	t.frontCounts[ip] = upstream.FrontCounts{All: say.FrontCount, Region: say.FrontsInRegion, Zone: say.FrontsInZone}
+	most := upstream.FrontCounts{All: 1}
 	for _, c := range t.frontCounts {
 		most.All, most.Region, most.Zone = max(most.All, c.All), max(most.Region, c.Region), max(most.Zone, c.Zone)
 	}
@@ -372,7 +372,7 @@
 		t.retryBudget.SetNodes(most.All)
 	}
 	if !t.cacheNode {
-		t.endpoints.SetShare(most)
+		t.endpoints.SetFrontCounts(most)
 	}
 	if d != nil && (t.table == nil || t.table.Stamp.Before(d.To)) {
 		from := t.table
@@ -504,7 +504,7 @@
 		s.Holders[shard] = t.layouts.Held(shard)
 	}
 	for name, sv := range m.Services {
-		t.endpoints.SetLimit(name, int(sv.ConnectionLimit))
+		t.endpoints.SetConnectionLimit(name, int(sv.ConnectionLimit))
 	}
 	if t.table == nil || t.progress.Load().rolloutSlot < 0 {
 		return
@@ -561,7 +561,7 @@
 				wait = config.Milliseconds(t.host.Settings().Bounds.ConfigEffectMs, 0.02)
 			}
 		})
-		t.endpoints.Sweep(time.Now())
+		t.endpoints.PruneIdle(time.Now())
 		select {
 		case <-t.host.Stopping:
 			return
@@ -601,7 +601,7 @@
 	Searchers int             `json:"Searchers"`
 	Fronts    int             `json:"Fronts"`
 	// Connections to searchers, and how many of these do not answer.
-	Connections upstream.Count `json:"Connections"`
+	Connections upstream.Stats `json:"Connections"`
 	Busy        int64          `json:"Busy"`
 	// Helped counts the requests in which this front gathered for another.
 	Helped int64               `json:"Helped"`
@@ -617,7 +617,7 @@
 
 func (t *Server) Status() *Status {
 	st := &Status{Ready: t.ready.Load(), Busy: t.frontend.Busy(), Helped: t.frontend.Lent(), Slots: map[string][]string{}}
-	st.Connections = t.endpoints.Count()
+	st.Connections = t.endpoints.Stats()
 	st.Copies, st.CopyBytes = t.cacheHandler.Held()
 	if t.cacheNode {
 		st.Copies, st.CopyBytes = t.fetcher.Held()
--- a/internal/front/unreachable.go
+++ b/internal/front/unreachable.go
@@ -15,7 +15,7 @@
 		}
 		// Others of the same request come in together.
 		time.Sleep(t.host.Heartbeats(0.05))
-		dark := t.endpoints.Missed(t.host.Heartbeats(1))
+		dark := t.endpoints.UnreachableOrdinals(t.host.Heartbeats(1))
 		to := ""
 		t.loop.Call(func() {
 			if len(t.watchTargets) > 0 {
--- a/internal/frontend/across.go
+++ b/internal/frontend/across.go
@@ -9,10 +9,10 @@
 )
 
 // Caller carries a call to another front.
-type Caller func(ip string, ask relay.Ask, say *relay.Say, within time.Duration) error
+type Caller func(ip string, ask relay.Request, say *relay.Response, within time.Duration) error
 
 // SetAcross lets gathered requests go by way of fronts in other zones.
-func (h *Head) SetAcross(c *relay.Choice, call Caller) { h.choice, h.call = c, call }
+func (h *Head) SetAcross(c *relay.Balancer, call Caller) { h.choice, h.call = c, call }
 
 // crossing is one request's way across.
 type crossing struct {
@@ -22,7 +22,7 @@
 
 // across is nil where the request is none that another front may gather for.
 func (h *Head) across(v *visit) scatter.Across {
-	if h.choice == nil || len(v.route.Gathered) < 2 || !v.req.Plain() {
+	if h.choice == nil || len(v.route.Gathered) < 2 || !v.req.IsGetWithoutBody() {
 		return nil
 	}
 	return crossing{h, v}
@@ -38,10 +38,10 @@
 	version, req, until := v.snap.Map.Version, v.req, v.times.Until
 	return func(legs []int, wait time.Duration) ([]string, []byte) {
 		left := time.Until(until)
-		ask := relay.Ask{
-			Version: version, Shards: legs, Head: req.Head(), LeftMs: left.Milliseconds(), WaitMs: wait.Milliseconds(),
+		ask := relay.Request{
+			Version: version, Shards: legs, Head: req.Head(), RemainingMs: left.Milliseconds(), WaitMs: wait.Milliseconds(),
 		}
-		var say relay.Say
+		var say relay.Response
 		err := c.h.call(front.IP, ask, &say, min(left, 3*wait))
 		c.h.choice.Done(front.IP, err == nil, time.Now())
 		if err != nil || len(say.Stamps) != len(legs) || len(say.Records)%scatter.RecordSize != 0 {
@@ -54,37 +54,37 @@
 // Lend gathers some shards for another front. It asks one searcher of each
 // and answers with what is in when the wait is over; false means that this
 // node does not hold the same version.
-func (h *Head) Lend(a relay.Ask) (relay.Say, bool) {
+func (h *Head) Lend(a relay.Request) (relay.Response, bool) {
 	start := time.Now()
 	snap := h.now.Load()
-	if snap == nil || h.leave.Load() || snap.Map.Version != a.Version || a.LeftMs <= 0 || len(a.Shards) == 0 {
-		return relay.Say{}, false
+	if snap == nil || h.leave.Load() || snap.Map.Version != a.Version || a.RemainingMs <= 0 || len(a.Shards) == 0 {
+		return relay.Response{}, false
 	}
-	req, ok := upstream.Lent(a.Head)
+	req, ok := upstream.NewRelayedRequest(a.Head)
 	if !ok {
-		return relay.Say{}, false
+		return relay.Response{}, false
 	}
 	route := snap.Map.Match(req.Host, req.Target)
 	if route == nil {
-		return relay.Say{}, false
+		return relay.Response{}, false
 	}
 	var legs []*scatter.Leg
 	for _, i := range a.Shards {
 		if i < 0 || i >= len(route.Gathered) {
-			return relay.Say{}, false
+			return relay.Response{}, false
 		}
 		legs = append(legs, snap.leg(route.Gathered[i], h.steadyWay(snap, route.Gathered[i])))
 	}
-	req.Route, req.Aim = route.Name, route.Target
+	req.Route, req.LatencyTarget = route.Name, route.Target
 	h.busy.Add(1)
 	h.lent.Add(1)
 	defer h.busy.Add(-1)
-	left := time.Duration(a.LeftMs) * time.Millisecond
+	left := time.Duration(a.RemainingMs) * time.Millisecond
 	wait := min(left, time.Duration(a.WaitMs)*time.Millisecond)
 	p := scatter.NewParty(scatter.Terms{Attempts: 1, Safe: true}, legs)
 	defer p.Release()
 	h.guide.Run(p, req, scatter.Times{Start: start, Target: route.Target, Soft: start.Add(wait), Hard: start.Add(wait), Until: start.Add(left), Lent: true}, nil)
-	say := relay.Say{Stamps: make([]string, len(legs))}
+	say := relay.Response{Stamps: make([]string, len(legs))}
 	var bodies [][]byte
 	for k, l := range legs {
 		if l.Done {
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -110,8 +110,8 @@
 	pool, _ := ants.NewPool(64, ants.WithNonblocking(true))
 	zone := func(i int) string { return strings.Repeat("z", i) }
 	rng := upstream.New(upstream.Options{
-		Distance: func(z string) int { return min(len(z), 2) }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 20,
-		KeepIdle: time.Minute, FailsOut: 3, OutFor: time.Second, Many: 5, FarPenalty: 9, Forget: time.Second,
+		Distance: func(z string) int { return min(len(z), 2) }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
+		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DistancePenalty: 9, DecayTime: time.Second,
 	})
 	var list []endpoints.Endpoint
 	for i, a := range addrs {
@@ -164,7 +164,7 @@
 		if err != nil {
 			return out, err.Error()
 		}
-		out = append(out, got{r.StatusCode, r.Header.Get(upstream.HeaderRequestID), string(b), r.Header.Get(upstream.HeaderStamp)})
+		out = append(out, got{r.StatusCode, r.Header.Get(upstream.HeaderRequestID), string(b), r.Header.Get(upstream.HeaderServerStamp)})
 	}
 	_ = c.SetReadDeadline(time.Now().Add(60 * time.Millisecond))
 	b, _ := io.ReadAll(in)
--- a/internal/frontend/cached.go
+++ b/internal/frontend/cached.go
@@ -228,7 +228,7 @@
 	out := &v.c.Response
 	out.SetStatusCode(a.Status)
 	h.fields(v, c.Fields)
-	out.Header.Set(upstream.HeaderStamp, c.Stamp)
+	out.Header.Set(upstream.HeaderServerStamp, c.Stamp)
 	out.Header.Set("ETag", c.ETag)
 	out.Header.Set("Age", strconv.Itoa(int(c.Age(h.pantry.steady())/time.Second)))
 	if a.ContentRange != "" {
@@ -244,7 +244,7 @@
 	v.c.SetStatusCode(p.Status)
 	h.fields(v, p.Fields)
 	if p.Stamp != "" {
-		v.c.Response.Header.Set(upstream.HeaderStamp, p.Stamp)
+		v.c.Response.Header.Set(upstream.HeaderServerStamp, p.Stamp)
 	}
 	v.c.Response.SetBodyRaw(p.Body)
 	return false
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -48,10 +48,10 @@
 func (s *Snapshot) make(service string, w rollout.Way, holders func(version string) []string) *scatter.Leg {
 	l := &scatter.Leg{Service: service, Version: w.Then, Holders: holders(w.Then)}
 	if w.Once != "" {
-		l.Canary = &upstream.Among{Service: service, Version: w.Once, Holders: holders(w.Once)}
+		l.Canary = &upstream.Selector{Service: service, Version: w.Once, IDs: holders(w.Once)}
 	}
 	if w.Else != "" {
-		l.Else = &upstream.Among{Service: service, Version: w.Else, Holders: holders(w.Else)}
+		l.Else = &upstream.Selector{Service: service, Version: w.Else, IDs: holders(w.Else)}
 	}
 	return l
 }
@@ -114,7 +114,7 @@
 	longest sync.Map
 	lent    atomic.Int64
 
-	choice *relay.Choice
+	choice *relay.Balancer
 	call   Caller
 	pantry *Pantry
 }
@@ -255,7 +255,7 @@
 	if v.route = v.snap.Map.Match(v.req.Host, v.req.Target); v.route == nil {
 		return h.refuse(v, 404, "no route")
 	}
-	v.req.Route, v.req.Aim = v.route.Name, v.route.Target
+	v.req.Route, v.req.LatencyTarget = v.route.Name, v.route.Target
 	return true
 }
 
@@ -350,7 +350,7 @@
 func (h *Head) crowded(legs []*scatter.Leg, factor float64) bool {
 	n := 0
 	for _, l := range legs {
-		if h.guide.Range.Crowded(l.Among(), factor) {
+		if h.guide.Range.Overloaded(l.Among(), factor) {
 			n++
 		}
 	}
@@ -358,16 +358,16 @@
 }
 
 // pass gives a searcher's answer back as it is.
-func (h *Head) pass(v *visit, o *upstream.Outcome) {
+func (h *Head) pass(v *visit, o *upstream.Attempt) {
 	out := &v.c.Response
 	out.SetStatusCode(o.Status)
 	named := map[string]bool{}
-	for _, n := range strings.Split(string(o.Resp.Header.Peek("Connection")), ",") {
+	for _, n := range strings.Split(string(o.Response.Header.Peek("Connection")), ",") {
 		named[strings.ToLower(strings.TrimSpace(n))] = true
 	}
-	o.Resp.Header.VisitAll(func(k, val []byte) {
+	o.Response.Header.VisitAll(func(k, val []byte) {
 		name := string(k)
-		if upstream.IsHop(name) || named[strings.ToLower(name)] {
+		if upstream.IsHopByHop(name) || named[strings.ToLower(name)] {
 			return
 		}
 		switch strings.ToLower(name) {
@@ -381,7 +381,7 @@
 			out.Header.Add(name, string(val))
 		}
 	})
-	out.SetBodyRaw(append([]byte(nil), o.Resp.Body()...))
+	out.SetBodyRaw(append([]byte(nil), o.Response.Body()...))
 	if out.StatusCode() == 503 || out.StatusCode() == 429 {
 		if len(out.Header.Peek("Retry-After")) == 0 {
 			h.retryAfter(v, v.route.Target)
@@ -406,9 +406,9 @@
 	out := &v.c.Response
 	out.SetStatusCode(200)
 	out.Header.SetContentType("application/octet-stream")
-	out.Header.Set(upstream.HeaderParts, string(stamps))
+	out.Header.Set(upstream.HeaderPartStamps, string(stamps))
 	if missing := len(p.Legs) - p.Good(); missing > 0 {
-		out.Header.Set(upstream.HeaderMissing, strconv.Itoa(missing))
+		out.Header.Set(upstream.HeaderMissingParts, strconv.Itoa(missing))
 	}
 	out.Header.Set(upstream.HeaderRequestID, v.req.ID)
 	out.SetBodyRaw(scatter.Merge(bodies, v.route.Top))
--- a/internal/frontend/write_test.go
+++ b/internal/frontend/write_test.go
@@ -48,7 +48,7 @@
 func idleHead() *Head {
 	conf := &config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: []*config.Route{
 		{Name: "r", HostName: "a.example", PathPrefix: "/", RouteKind: "safe", TimeoutMs: 6000, Service: "s", Attempts: 1}}}
-	guide := &scatter.Guide{Range: upstream.New(upstream.Options{Many: 5, Forget: time.Second}), Ledger: ratelimit.New(ratelimit.Rules{Window: time.Second}, 0), Steady: func() time.Duration { return 0 }}
+	guide := &scatter.Guide{Range: upstream.New(upstream.Options{TwoChoicesThreshold: 5, DecayTime: time.Second}), Ledger: ratelimit.New(ratelimit.Rules{Window: time.Second}, 0), Steady: func() time.Duration { return 0 }}
 	h := New(Options{Soft: 0.9, Hard: 0.97, WriteWithin: 2 * time.Second, Crowd: 2}, guide)
 	h.Set(&Snapshot{Map: routing.Compile(conf, routing.Limits{Header: 1 << 14, Body: 1 << 14})})
 	return h
--- a/internal/relay/saddle.go
+++ b/internal/relay/saddle.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Ask names shards of a gathered route by their places in its list. Both
+// Request names shards of a gathered route by their places in its list. Both
 // sides hold the same version, so the route is found by the request itself.
 // The names on the wire are short: these calls are what crosses most.
-type Ask struct {
+type Request struct {
 	Version int64  `json:"V"`
 	Shards  []int  `json:"S"`
 	Head    string `json:"H"`
-	// LeftMs is what the client has left, WaitMs when the answer must be on its way.
-	LeftMs int64 `json:"L"`
-	WaitMs int64 `json:"W"`
+	// RemainingMs is what the client has left, WaitMs when the answer must be on its way.
+	RemainingMs int64 `json:"L"`
+	WaitMs      int64 `json:"W"`
 }
 
-// Say holds the stamps of the parts in the order asked for, empty where one
+// Response holds the stamps of the parts in the order asked for, empty where one
 // is not in, and the greatest records of all that are.
-type Say struct {
+type Response struct {
 	Stamps  []string `json:"S"`
 	Records []byte   `json:"R"`
 }
@@ -36,8 +36,8 @@
 	CacheNode bool `json:"Keeps,omitempty"`
 }
 
-// Choice picks fronts, leaving out those that failed lately.
-type Choice struct {
+// Balancer picks fronts, leaving out those that failed lately.
+type Balancer struct {
 	mu     sync.Mutex
 	outFor time.Duration
 	zones  map[string][]Front
@@ -46,13 +46,13 @@
 	out    map[string]time.Time
 }
 
-// NewChoice makes a choice among nobody; a front that failed is left out for outFor.
-func NewChoice(outFor time.Duration) *Choice {
-	return &Choice{outFor: outFor, zones: map[string][]Front{}, busy: map[string]int{}, fails: map[string]int{}, out: map[string]time.Time{}}
+// NewBalancer makes a choice among nobody; a front that failed is left out for outFor.
+func NewBalancer(outFor time.Duration) *Balancer {
+	return &Balancer{outFor: outFor, zones: map[string][]Front{}, busy: map[string]int{}, fails: map[string]int{}, out: map[string]time.Time{}}
 }
 
-// Set takes the fronts that are ready.
-func (c *Choice) Set(fronts []Front, self string) {
+// SetFronts takes the fronts that are ready.
+func (c *Balancer) SetFronts(fronts []Front, self string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.zones = map[string][]Front{}
@@ -64,7 +64,7 @@
 }
 
 // Pick gives the less busy of two fronts of a zone; nil where there is none. Done must follow.
-func (c *Choice) Pick(zone string, now time.Time) *Front {
+func (c *Balancer) Pick(zone string, now time.Time) *Front {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var in []Front
@@ -84,8 +84,8 @@
 	return &a
 }
 
-// Out tells, as 1, that a node is left out now.
-func (c *Choice) Out(ip string, now time.Time) int {
+// EjectionRank tells, as 1, that a node is left out now.
+func (c *Balancer) EjectionRank(ip string, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now.After(c.out[ip]) {
@@ -95,7 +95,7 @@
 }
 
 // Done ends a call; a front that failed twice in a row is left out for a while.
-func (c *Choice) Done(ip string, ok bool, now time.Time) {
+func (c *Balancer) Done(ip string, ok bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.busy[ip]--; c.busy[ip] <= 0 {
--- a/internal/scatter/gather_test.go
+++ b/internal/scatter/gather_test.go
@@ -30,24 +30,24 @@
 }
 
 // outcomes of a trace: ok:STAMP, 500, notrun, unsent, unknown.
-func outcome(word string) upstream.Outcome {
+func outcome(word string) upstream.Attempt {
 	kind, stamp, _ := strings.Cut(word, ":")
-	o := upstream.Outcome{Resp: protocol.AcquireResponse(), Stamp: stamp}
+	o := upstream.Attempt{Response: protocol.AcquireResponse(), Stamp: stamp}
 	switch kind {
 	case "ok":
 		o.Status = 200
-		o.Resp.SetBody([]byte("own records"))
+		o.Response.SetBody([]byte("own records"))
 	case "nostamp":
 		o.Status, o.Stamp = 200, ""
 	case "500", "404":
 		o.Status, _ = strconv.Atoi(kind)
 		o.Stamp = "x"
 	case "notrun":
-		o.Verdict, o.Status = upstream.NotRun, 503
+		o.Outcome, o.Status = upstream.OutcomeUnprocessed, 503
 	case "unsent":
-		return upstream.Outcome{Verdict: upstream.Unsent}
+		return upstream.Attempt{Outcome: upstream.OutcomeUnsent}
 	case "unknown":
-		return upstream.Outcome{Verdict: upstream.Unknown}
+		return upstream.Attempt{Outcome: upstream.OutcomeUnknown}
 	default:
 		panic(word)
 	}
@@ -67,7 +67,7 @@
 		}
 		*p = NewParty(t, legs)
 	case "go":
-		(*p).Launched(leg(f[1]), &upstream.Peer{})
+		(*p).Launched(leg(f[1]), &upstream.Endpoint{})
 	case "nobody":
 		(*p).Launched(leg(f[1]), nil)
 	case "group": // group LEGS STAMPS AGAIN ok|bad: "-" stands for a part that is not in
--- a/internal/scatter/legs_test.go
+++ b/internal/scatter/legs_test.go
@@ -42,8 +42,8 @@
 	pool, _ := ants.NewPool(4096, ants.WithNonblocking(true))
 	defer pool.Release()
 	rng := upstream.New(upstream.Options{
-		Distance: func(string) int { return 0 }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 20,
-		KeepIdle: time.Minute, FailsOut: 3, OutFor: time.Second, Many: 5, Forget: time.Second,
+		Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
+		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: time.Second,
 	})
 	t := &endpoints.Table{}
 	for i := range n {
--- a/internal/scatter/party.go
+++ b/internal/scatter/party.go
@@ -22,11 +22,11 @@
 	Version string
 	Holders []string
 	// Canary, where it is set, is asked once, in place of the first try.
-	Canary *upstream.Among
+	Canary *upstream.Selector
 	// Else is asked where nobody of Version can be.
-	Else *upstream.Among
+	Else *upstream.Selector
 
-	Tried []*upstream.Peer
+	Tried []*upstream.Endpoint
 	// Lent: the first try went by way of another front; whom that asked is not known.
 	Lent bool
 	Out  int
@@ -36,20 +36,20 @@
 	Sent bool
 	// MayHaveRun tells whether a try may have run without a usable answer.
 	MayHaveRun bool
-	Good       upstream.Outcome
+	Good       upstream.Attempt
 	// Last is the last answer that is no success.
-	Last upstream.Outcome
+	Last upstream.Attempt
 }
 
 // Among names the searchers that the leg's tries go to.
-func (l *Leg) Among() upstream.Among {
-	return upstream.Among{Service: l.Service, Version: l.Version, Holders: l.Holders}
+func (l *Leg) Among() upstream.Selector {
+	return upstream.Selector{Service: l.Service, Version: l.Version, IDs: l.Holders}
 }
 
 // Passes tells whether the last answer may be given back as it is: nothing is
 // under way, and no promise that nothing ran is made where something may have.
 func (l *Leg) Passes() bool {
-	return l.Last.Resp != nil && l.Out == 0 && !(l.MayHaveRun && l.Last.Verdict == upstream.NotRun)
+	return l.Last.Response != nil && l.Out == 0 && !(l.MayHaveRun && l.Last.Outcome == upstream.OutcomeUnprocessed)
 }
 
 // Step is what to do next for a leg.
@@ -84,7 +84,7 @@
 func (p *Party) Open() int { return p.open }
 
 // Launched notes that leg i went out to a searcher; nil means that there is none to be had.
-func (p *Party) Launched(i int, peer *upstream.Peer) {
+func (p *Party) Launched(i int, peer *upstream.Endpoint) {
 	l := p.Legs[i]
 	if peer == nil {
 		p.settle(l)
@@ -105,30 +105,30 @@
 // Hear takes the outcome of a try and says what to do for its leg. kept
 // tells whether the party holds on to the outcome; if not, the caller
 // releases it.
-func (p *Party) Hear(i int, o upstream.Outcome) (next Step, kept bool) {
+func (p *Party) Hear(i int, o upstream.Attempt) (next Step, kept bool) {
 	l := p.Legs[i]
 	l.Out--
-	if o.Verdict != upstream.Unsent {
+	if o.Outcome != upstream.OutcomeUnsent {
 		l.Sent = true
 	}
 	if l.Done || l.Dead {
 		return Wait, false
 	}
-	if o.Good() && !p.stamps[o.Stamp] {
+	if o.Succeeded() && !p.stamps[o.Stamp] {
 		p.stamps[o.Stamp] = true
 		l.Done, l.Good = true, o
 		p.good++
 		p.open--
 		return Wait, true
 	}
-	if o.Verdict == upstream.Answered || o.Verdict == upstream.Unknown {
+	if o.Outcome == upstream.OutcomeAnswered || o.Outcome == upstream.OutcomeUnknown {
 		l.MayHaveRun = true
 	}
-	if o.Resp != nil && p.mayPass(&o) {
+	if o.Response != nil && p.mayPass(&o) {
 		l.Last.Release()
 		l.Last, kept = o, true
 	}
-	if o.Verdict == upstream.Answered && o.Status >= 300 && o.Status < 500 && len(p.Legs) == 1 {
+	if o.Outcome == upstream.OutcomeAnswered && o.Status >= 300 && o.Status < 500 && len(p.Legs) == 1 {
 		// The searcher has decided: another would say the same.
 		p.settle(l)
 		return Wait, kept
@@ -144,13 +144,13 @@
 // client. A success without its stamp is no answer of a searcher's. 408, 421,
 // 429 and 503 tell the client that nothing ran: where that must be true, they
 // pass only from a searcher that said so itself.
-func (p *Party) mayPass(o *upstream.Outcome) bool {
+func (p *Party) mayPass(o *upstream.Attempt) bool {
 	if o.Status < 300 {
 		return false
 	}
 	switch o.Status {
 	case 408, 421, 429, 503:
-		return p.Terms.Safe || o.Verdict == upstream.NotRun
+		return p.Terms.Safe || o.Outcome == upstream.OutcomeUnprocessed
 	}
 	return true
 }
@@ -191,9 +191,9 @@
 				p.open--
 			}
 			p.stamps[stamps[k]] = true
-			l.Good = upstream.Outcome{Status: 200, Stamp: stamps[k]}
+			l.Good = upstream.Attempt{Status: 200, Stamp: stamps[k]}
 			if first {
-				l.Good.Body, first = records, false
+				l.Good.RelayedBody, first = records, false
 			}
 			continue
 		}
--- a/internal/scatter/run.go
+++ b/internal/scatter/run.go
@@ -10,7 +10,7 @@
 
 // Guide carries parties out.
 type Guide struct {
-	Range  *upstream.Range
+	Range  *upstream.Pool
 	Ledger *ratelimit.Ledger
 	Pool   *ants.Pool
 	// Steady is the node's steady clock.
@@ -39,7 +39,7 @@
 
 type heard struct {
 	leg int
-	out upstream.Outcome
+	out upstream.Attempt
 	// group holds the legs of an answer by way of another front.
 	group   []int
 	stamps  []string
@@ -62,7 +62,7 @@
 		if !t.Lent {
 			g.Ledger.Ask(l.Service, g.Steady())
 		}
-		_, p90 := g.Range.Latency(l.Service)
+		_, p90 := g.Range.LatencyPercentiles(l.Service)
 		hedge[i] = t.Start.Add(max(p90, time.Duration(at*float64(t.Target))))
 		peer, start, canary := g.first(l, t.Target)
 		switch {
@@ -70,7 +70,7 @@
 			g.send(p, i, peer, start, r, t, results)
 		case peer == nil && across == nil:
 			p.Launched(i, nil)
-		case across != nil && (peer == nil || !peer.Near()):
+		case across != nil && (peer == nil || !peer.InLocalZone()):
 			far = append(far, farLeg{i, peer, start})
 		default:
 			g.send(p, i, peer, start, r, t, results)
@@ -124,9 +124,9 @@
 // first chooses whom a leg asks first. A new version on trial is reached
 // directly, however far it is: the front asked for the way across would count
 // it again.
-func (g *Guide) first(l *Leg, target time.Duration) (peer *upstream.Peer, start time.Time, canary bool) {
+func (g *Guide) first(l *Leg, target time.Duration) (peer *upstream.Endpoint, start time.Time, canary bool) {
 	if l.Canary != nil {
-		if peer, start = g.Range.Choose(*l.Canary, nil, target, false); peer != nil {
+		if peer, start = g.Range.Pick(*l.Canary, nil, target, false); peer != nil {
 			return peer, start, true
 		}
 	}
@@ -136,10 +136,10 @@
 
 // choose picks among the leg's searchers, or where none of them can be asked
 // and others may be, among those.
-func (g *Guide) choose(l *Leg, not []*upstream.Peer, target time.Duration, spare bool) (*upstream.Peer, time.Time) {
-	peer, start := g.Range.Choose(l.Among(), not, target, spare)
+func (g *Guide) choose(l *Leg, not []*upstream.Endpoint, target time.Duration, spare bool) (*upstream.Endpoint, time.Time) {
+	peer, start := g.Range.Pick(l.Among(), not, target, spare)
 	if peer == nil && l.Else != nil {
-		return g.Range.Choose(*l.Else, not, target, spare)
+		return g.Range.Pick(*l.Else, not, target, spare)
 	}
 	return peer, start
 }
@@ -174,7 +174,7 @@
 		h.out.Release()
 	}
 	if step == Again {
-		g.again(p, h.leg, h.out.Verdict == upstream.NotRun, r, t, results)
+		g.again(p, h.leg, h.out.Outcome == upstream.OutcomeUnprocessed, r, t, results)
 	}
 }
 
@@ -194,7 +194,7 @@
 		return
 	}
 	if (l.Sent || l.Out > 0) && !g.Ledger.Further(l.Service, g.Steady()) {
-		g.Range.Unchoose(peer, start)
+		g.Range.CancelPick(peer, start)
 		p.GaveUp(i)
 		return
 	}
@@ -203,7 +203,7 @@
 
 type farLeg struct {
 	leg   int
-	peer  *upstream.Peer
+	peer  *upstream.Endpoint
 	start time.Time
 }
 
@@ -226,7 +226,7 @@
 		if f.peer == nil {
 			least = 1
 		}
-		for _, z := range g.Range.Zones(p.Legs[f.leg].Among()) {
+		for _, z := range g.Range.HealthyZones(p.Legs[f.leg].Among()) {
 			count[z]++
 		}
 	}
@@ -256,13 +256,13 @@
 			var rest []farLeg
 			for _, f := range far {
 				l := p.Legs[f.leg]
-				peer := g.Range.In(l.Among(), most)
+				peer := g.Range.HealthyInZone(l.Among(), most)
 				if peer == nil {
 					rest = append(rest, f)
 					continue
 				}
 				if f.peer != nil {
-					g.Range.Unchoose(f.peer, f.start)
+					g.Range.CancelPick(f.peer, f.start)
 				}
 				p.Launched(f.leg, peer)
 				l.Lent = true
@@ -288,13 +288,13 @@
 	return group
 }
 
-func (g *Guide) send(p *Party, i int, peer *upstream.Peer, start time.Time, r *upstream.Request, t Times, results chan heard) {
+func (g *Guide) send(p *Party, i int, peer *upstream.Endpoint, start time.Time, r *upstream.Request, t Times, results chan heard) {
 	p.Launched(i, peer)
 	err := g.Pool.Submit(func() {
-		results <- heard{leg: i, out: g.Range.Try(peer, r, start, t.Until)}
+		results <- heard{leg: i, out: g.Range.Do(peer, r, start, t.Until)}
 	})
 	if err != nil {
-		g.Range.Unchoose(peer, start)
-		results <- heard{leg: i, out: upstream.Outcome{Verdict: upstream.Unsent, Peer: peer, Err: err}}
+		g.Range.CancelPick(peer, start)
+		results <- heard{leg: i, out: upstream.Attempt{Outcome: upstream.OutcomeUnsent, Endpoint: peer, Err: err}}
 	}
 }
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -11,12 +11,12 @@
 )
 
 // benchmarkPool is a pool of n endpoints of one service at one address, in three zones.
-func benchmarkPool(b *testing.B, n int, addr string) *Range {
+func benchmarkPool(b *testing.B, n int, addr string) *Pool {
 	b.Helper()
 	g := New(Options{
-		Distance:    func(zone string) int { return int(zone[0] - '0') },
-		UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 16, KeepIdle: time.Minute,
-		Many: 5, FailsOut: 3, OutFor: time.Second, FarPenalty: 0.15, Forget: 3 * time.Second, Self: "front-0",
+		Distance:       func(zone string) int { return int(zone[0] - '0') },
+		TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 16, IdleTimeout: time.Minute,
+		TwoChoicesThreshold: 5, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, DistancePenalty: 0.15, DecayTime: 3 * time.Second, NodeName: "front-0",
 	})
 	var list []endpoints.Endpoint
 	for i := range n {
@@ -29,15 +29,15 @@
 
 func benchmarkPick(b *testing.B, limit int) {
 	g := benchmarkPool(b, 100, "")
-	g.SetLimit("s", limit)
-	g.SetShare(Fronts{All: 300, Region: 100, Zone: 50})
+	g.SetConnectionLimit("s", limit)
+	g.SetFrontCounts(FrontCounts{All: 300, Region: 100, Zone: 50})
 	b.ReportAllocs()
 	for b.Loop() {
-		p, start := g.Choose(Among{Service: "s"}, nil, 100*time.Millisecond, false)
+		p, start := g.Pick(Selector{Service: "s"}, nil, 100*time.Millisecond, false)
 		if p == nil {
 			b.Fatal("no endpoint was picked")
 		}
-		g.Unchoose(p, start)
+		g.CancelPick(p, start)
 	}
 }
 
@@ -71,9 +71,9 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		p, start := g.Choose(Among{Service: "s"}, nil, time.Second, false)
-		o := g.Try(p, request, start, time.Now().Add(time.Second))
-		if !o.Good() {
+		p, start := g.Pick(Selector{Service: "s"}, nil, time.Second, false)
+		o := g.Do(p, request, start, time.Now().Add(time.Second))
+		if !o.Succeeded() {
 			b.Fatalf("%+v", o)
 		}
 		o.Release()
--- a/internal/upstream/garble_test.go
+++ b/internal/upstream/garble_test.go
@@ -94,16 +94,16 @@
 		"no stamp":                {"Swiftswitch-Server-Stamp: s\r\n", "", false},
 	} {
 		addr, conns := garbler(t, []string{strings.Replace(whole, c.old, c.new, 1), whole, whole})
-		g := New(Options{Distance: func(string) int { return 0 }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 16, KeepIdle: time.Second, Many: 5, FailsOut: 3, OutFor: time.Second, Forget: time.Second})
+		g := New(Options{Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 16, IdleTimeout: time.Second, TwoChoicesThreshold: 5, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, DecayTime: time.Second})
 		table, _ := endpoints.NextTable(nil, []endpoints.Endpoint{{ID: "i", Service: "s", Addr: addr, Slots: 2}}, endpoints.Stamp{Epoch: 1})
 		g.SetTable(table)
 		req, err := NewRequest("GET", "/a", []byte(lines), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ask := func() Outcome {
-			p, start := g.Choose(Among{Service: "s"}, nil, time.Second, false)
-			o := g.Try(p, req, start, time.Now().Add(250*time.Millisecond))
+		ask := func() Attempt {
+			p, start := g.Pick(Selector{Service: "s"}, nil, time.Second, false)
+			o := g.Do(p, req, start, time.Now().Add(250*time.Millisecond))
 			time.Sleep(60 * time.Millisecond)
 			return o
 		}
@@ -112,11 +112,11 @@
 		if name == "a body where none is" {
 			body = ""
 		}
-		if o.Good() != c.good || c.good && string(o.Records()) != body {
+		if o.Succeeded() != c.good || c.good && string(o.Records()) != body {
 			t.Errorf("%s: taken as %+v", name, o)
 		}
 		for i := 0; i < 2; i++ {
-			if o := ask(); !o.Good() || string(o.Records()) != "body" {
+			if o := ask(); !o.Succeeded() || string(o.Records()) != "body" {
 				t.Errorf("%s: the answer after it: %+v", name, o)
 			}
 		}
@@ -141,13 +141,13 @@
 		return "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: " + body + "\r\nContent-Length: 4\r\n\r\n" + body
 	}
 	addr, conns := garbler(t, []string{noID("one1") + "late:" + noID("old1"), noID("two2"), noID("thr3"), noID("fou4"), noID("fiv5")})
-	g := New(Options{Distance: func(string) int { return 0 }, UserTimeout: time.Second, DialWithin: time.Second, MaxBody: 1 << 16, KeepIdle: time.Second, Settle: 80 * time.Millisecond, Many: 5, FailsOut: 3, OutFor: time.Second, Forget: 50 * time.Millisecond})
+	g := New(Options{Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 16, IdleTimeout: time.Second, SettleTime: 80 * time.Millisecond, TwoChoicesThreshold: 5, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, DecayTime: 50 * time.Millisecond})
 	table, _ := endpoints.NextTable(nil, []endpoints.Endpoint{{ID: "i", Service: "s", Addr: addr, Slots: 2}}, endpoints.Stamp{Epoch: 1})
 	g.SetTable(table)
 	for i, want := range []string{"one1", "two2", "thr3", "fou4", "fiv5"} {
-		p, start := g.Choose(Among{Service: "s"}, nil, time.Second, false)
-		o := g.Try(p, Read("own", "a.example", "/"+want, ""), start, time.Now().Add(time.Second))
-		if !o.Good() || string(o.Records()) != want {
+		p, start := g.Pick(Selector{Service: "s"}, nil, time.Second, false)
+		o := g.Do(p, NewFetchRequest("own", "a.example", "/"+want, ""), start, time.Now().Add(time.Second))
+		if !o.Succeeded() || string(o.Records()) != want {
 			t.Fatalf("%s was answered with %q, %+v", want, o.Records(), o)
 		}
 		if i > 0 {
--- a/internal/upstream/hearsay.go
+++ b/internal/upstream/hearsay.go
@@ -6,10 +6,10 @@
 // away before its searcher counts as one that does not answer.
 const patience = 4
 
-// Missed lists, by their entries, the searchers that did not answer this node
+// UnreachableOrdinals lists, by their entries, the searchers that did not answer this node
 // within the last span and have not since. Where they are more than a third of
 // those that did, the node itself is ill, and it accuses nobody.
-func (g *Range) Missed(span time.Duration) (out []int64) {
+func (g *Pool) UnreachableOrdinals(span time.Duration) (out []int64) {
 	since := time.Now().Add(-span)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,9 +30,9 @@
 	return out
 }
 
-// Tell takes that several others get no answer from these searchers. Until
+// MarkUnreachable takes that several others get no answer from these searchers. Until
 // then they are asked only where nobody else can be.
-func (g *Range) Tell(entries []int64, until time.Time) {
+func (g *Pool) MarkUnreachable(entries []int64, until time.Time) {
 	dark := map[int64]bool{}
 	for _, e := range entries {
 		dark[e] = true
@@ -46,29 +46,29 @@
 	}
 }
 
-// Count is a summary of the searchers as this node sees them.
-type Count struct {
-	// Open counts connections, Most those to one searcher.
-	Open int `json:"Open"`
-	Most int `json:"Most"`
-	// Silent searchers do not answer this node, Told not others either, as they say.
-	Silent int `json:"Silent"`
-	Told   int `json:"Told"`
+// Stats is a summary of the searchers as this node sees them.
+type Stats struct {
+	// OpenConnections counts connections, Most those to one searcher.
+	OpenConnections int `json:"Open"`
+	MaxPerEndpoint  int `json:"Most"`
+	// Unhealthy searchers do not answer this node, Told not others either, as they say.
+	Unhealthy           int `json:"Silent"`
+	ReportedUnreachable int `json:"Told"`
 }
 
-// Count sums up.
-func (g *Range) Count() (c Count) {
+// Stats sums up.
+func (g *Pool) Stats() (c Stats) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
 		n := len(p.idle) + len(p.inflight)
-		c.Open, c.Most = c.Open+n, max(c.Most, n)
+		c.OpenConnections, c.MaxPerEndpoint = c.OpenConnections+n, max(c.MaxPerEndpoint, n)
 		if p.silent {
-			c.Silent++
+			c.Unhealthy++
 		}
 		if now.Before(p.told) {
-			c.Told++
+			c.ReportedUnreachable++
 		}
 	}
 	return c
--- a/internal/upstream/hearsay_test.go
+++ b/internal/upstream/hearsay_test.go
@@ -10,26 +10,26 @@
 // A node tells of searchers that did not answer it, unless it seems ill
 // itself; what others tell sends it elsewhere until an answer proves them wrong.
 func TestMissedAndTold(t *testing.T) {
-	g := fleet(1, 250, 8, func(int) Fronts { return all(6) })[0]
+	g := fleet(1, 250, 8, func(int) FrontCounts { return all(6) })[0]
 	target := 100 * time.Millisecond
 	misses := 0
-	g.Miss = func() { misses++ }
-	end := func(p *Peer, o Outcome, took time.Duration) {
+	g.OnUnreachable = func() { misses++ }
+	end := func(p *Endpoint, o Attempt, took time.Duration) {
 		g.learn(p, &o, time.Now().Add(-took))
 	}
-	answered := Outcome{Verdict: Answered, Status: 200, Stamp: "x"}
-	late := Outcome{Verdict: Unknown, Err: os.ErrDeadlineExceeded}
+	answered := Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}
+	late := Attempt{Outcome: OutcomeUnknown, Err: os.ErrDeadlineExceeded}
 	for s := 0; s < 6; s++ {
 		end(g.peers["i-"+string(rune('0'+s))+"-0"], answered, 5*time.Millisecond)
 	}
 	near := g.peers["i-1-0"]
 	g.tracks["s1"].p50 = 5
 	end(near, late, 8*time.Millisecond)
-	if misses != 0 || len(g.Missed(time.Second)) != 0 {
+	if misses != 0 || len(g.UnreachableOrdinals(time.Second)) != 0 {
 		t.Fatal("a searcher that was given no time is told of")
 	}
 	end(near, late, 300*time.Millisecond)
-	if got := g.Missed(time.Second); misses != 1 || !slices.Equal(got, []int64{near.Ordinal}) {
+	if got := g.UnreachableOrdinals(time.Second); misses != 1 || !slices.Equal(got, []int64{near.Ordinal}) {
 		t.Fatalf("missed %v, told %d times", got, misses)
 	}
 	for s := 2; s < 5; s++ {
@@ -37,28 +37,28 @@
 		g.tracks[p.Service].p50 = 5
 		end(p, late, 300*time.Millisecond)
 	}
-	if got := g.Missed(time.Second); got != nil {
+	if got := g.UnreachableOrdinals(time.Second); got != nil {
 		t.Fatalf("a node that is ill itself accuses %v", got)
 	}
 	near = g.peers["i-7-0"]
-	if p, start := g.Choose(Among{Service: "s7"}, nil, target, false); p != near {
+	if p, start := g.Pick(Selector{Service: "s7"}, nil, target, false); p != near {
 		t.Fatal("the near one is not preferred")
 	} else {
-		g.Unchoose(p, start)
+		g.CancelPick(p, start)
 	}
-	g.Tell([]int64{near.Ordinal}, time.Now().Add(time.Minute))
-	if p, start := g.Choose(Among{Service: "s7"}, nil, target, false); p == near {
+	g.MarkUnreachable([]int64{near.Ordinal}, time.Now().Add(time.Minute))
+	if p, start := g.Pick(Selector{Service: "s7"}, nil, target, false); p == near {
 		t.Fatal("what others tell is not heard")
 	} else {
-		g.Unchoose(p, start)
+		g.CancelPick(p, start)
 	}
-	if p, start := g.Choose(Among{Service: "s7", Holders: []string{near.ID}}, nil, target, false); p != near {
+	if p, start := g.Pick(Selector{Service: "s7", IDs: []string{near.ID}}, nil, target, false); p != near {
 		t.Fatal("the last resort is not asked")
 	} else {
-		g.Unchoose(p, start)
+		g.CancelPick(p, start)
 	}
 	end(near, answered, 5*time.Millisecond)
-	if p, _ := g.Choose(Among{Service: "s7"}, nil, target, false); p != near {
+	if p, _ := g.Pick(Selector{Service: "s7"}, nil, target, false); p != near {
 		t.Fatal("an answer does not prove the others wrong")
 	}
 }
--- a/internal/upstream/reach.go
+++ b/internal/upstream/reach.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Fronts are how many front nodes there are: in all, in this node's region
+// FrontCounts are how many front nodes there are: in all, in this node's region
 // and in its zone.
-type Fronts struct {
+type FrontCounts struct {
 	All, Region, Zone int
 }
 
@@ -28,15 +28,15 @@
 	floor [3]uint64
 }
 
-func (r reach) of(p *Peer) int {
+func (r reach) of(p *Endpoint) int {
 	if p.draw < r.floor[p.far] {
 		return 0
 	}
 	return r.each[p.far]
 }
 
-// Draw spreads a name evenly over all numbers.
-func Draw(name string) uint64 {
+// HashString spreads a name evenly over all numbers.
+func HashString(name string) uint64 {
 	f := fnv.New64a()
 	_, _ = f.Write([]byte(name))
 	x := f.Sum64()
@@ -51,8 +51,8 @@
 // another takes the place of one that fails. All fronts together stay within
 // the limit without talk, as long as they count each other alike. Searchers of
 // another version are others' business: each version has its own draws.
-func (g *Range) reach(service, version string, t *track, now time.Time) (r reach) {
-	among := &Among{Version: version}
+func (g *Pool) reach(service, version string, t *track, now time.Time) (r reach) {
+	among := &Selector{Version: version}
 	all := max(1, g.share.All)
 	if t.limit >= all {
 		n := t.limit / all
@@ -83,7 +83,7 @@
 		r.each[far] = 1
 		share := keep * part * float64(len(l)) / float64(rivals[far])
 		n := int(share)
-		if float64(Draw(g.opt.Self+"/"+service)>>11)/(1<<53) < share-float64(n) {
+		if float64(HashString(g.opt.NodeName+"/"+service)>>11)/(1<<53) < share-float64(n) {
 			n++
 		}
 		switch {
--- a/internal/upstream/reach_test.go
+++ b/internal/upstream/reach_test.go
@@ -11,7 +11,7 @@
 // zoneOf puts front i into one of six zones, two a region.
 func zoneOf(i int) int { return i % 6 }
 
-func fleet(n, limit, shards int, seen func(i int) Fronts) []*Range {
+func fleet(n, limit, shards int, seen func(i int) FrontCounts) []*Pool {
 	var l []endpoints.Endpoint
 	for s := 0; s < shards; s++ {
 		for z := 0; z < 6; z++ {
@@ -19,10 +19,10 @@
 		}
 	}
 	table, _ := endpoints.NextTable(nil, l, endpoints.Stamp{Epoch: 1})
-	var out []*Range
+	var out []*Pool
 	for i := 0; i < n; i++ {
 		own := zoneOf(i)
-		g := New(Options{Self: fmt.Sprintf("front-%d", i), FailsOut: 3, OutFor: time.Second, Many: 5, Forget: 3 * time.Second, FarPenalty: 0.3,
+		g := New(Options{NodeName: fmt.Sprintf("front-%d", i), ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: 3 * time.Second, DistancePenalty: 0.3,
 			Distance: func(z string) int {
 				at := int(z[0] - '0')
 				switch {
@@ -35,16 +35,16 @@
 			}})
 		g.SetTable(table)
 		for s := 0; s < shards; s++ {
-			g.SetLimit(fmt.Sprintf("s%d", s), limit)
+			g.SetConnectionLimit(fmt.Sprintf("s%d", s), limit)
 		}
-		g.SetShare(seen(i))
+		g.SetFrontCounts(seen(i))
 		out = append(out, g)
 	}
 	return out
 }
 
 // taken sums, for each searcher of a service, the connections that all fronts may have.
-func taken(fronts []*Range, service string) (sum map[string]int, without int) {
+func taken(fronts []*Pool, service string) (sum map[string]int, without int) {
 	sum = map[string]int{}
 	now := time.Now()
 	for _, g := range fronts {
@@ -65,15 +65,15 @@
 	return sum, without
 }
 
-func all(n int) Fronts { return Fronts{All: n, Region: n / 3, Zone: n / 6} }
+func all(n int) FrontCounts { return FrontCounts{All: n, Region: n / 3, Zone: n / 6} }
 
 // More fronts than connections: together they stay within the limit, nobody
 // is left without a searcher and no searcher without fronts.
 func TestFrontsOutnumberConnections(t *testing.T) {
 	const n, limit, shards = 300, 250, 5
-	for name, seen := range map[string]func(int) Fronts{
-		"all agree":           func(int) Fronts { return all(n) },
-		"a third counts less": func(i int) Fronts { return all(n - 45*(i%3/2)) },
+	for name, seen := range map[string]func(int) FrontCounts{
+		"all agree":           func(int) FrontCounts { return all(n) },
+		"a third counts less": func(i int) FrontCounts { return all(n - 45*(i%3/2)) },
 	} {
 		fronts := fleet(n, limit, shards, seen)
 		for s := 0; s < shards; s++ {
@@ -104,7 +104,7 @@
 		}
 	}
 	// Where there are enough connections, everybody may reach all, as before.
-	sum, _ := taken(fleet(60, 250, 1, func(int) Fronts { return all(60) }), "s0")
+	sum, _ := taken(fleet(60, 250, 1, func(int) FrontCounts { return all(60) }), "s0")
 	if sum["i-0-0"] != 240 {
 		t.Fatalf("%d of 250 connections used by 60 fronts", sum["i-0-0"])
 	}
@@ -112,18 +112,18 @@
 
 // A searcher that shuts a new connection has too many, and is not taken for dead.
 func TestShutIsNotDead(t *testing.T) {
-	g := fleet(1, 250, 1, func(int) Fronts { return all(300) })[0]
-	g.Silent = func(id string) { t.Fatalf("%s was called silent", id) }
+	g := fleet(1, 250, 1, func(int) FrontCounts { return all(300) })[0]
+	g.OnUnhealthy = func(id string) { t.Fatalf("%s was called silent", id) }
 	for i := 0; i < 6; i++ {
-		p, start := g.Choose(Among{Service: "s0"}, nil, 100*time.Millisecond, false)
-		g.learn(p, &Outcome{Verdict: Unknown, shut: true}, start)
+		p, start := g.Pick(Selector{Service: "s0"}, nil, 100*time.Millisecond, false)
+		g.learn(p, &Attempt{Outcome: OutcomeUnknown, shut: true}, start)
 		if p.fails > 0 {
 			t.Fatal("a shut connection counts as a failure")
 		}
-		if q, again := g.Choose(Among{Service: "s0"}, nil, 100*time.Millisecond, false); q == p {
+		if q, again := g.Pick(Selector{Service: "s0"}, nil, 100*time.Millisecond, false); q == p {
 			t.Fatal("it is asked again at once")
 		} else {
-			g.Unchoose(q, again)
+			g.CancelPick(q, again)
 		}
 		p.outUntil = time.Time{}
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,15 +10,15 @@
 
 // Names of the headers that the system itself reads or writes.
 const (
-	HeaderRequestID = "Swiftswitch-Request-Id"
-	HeaderDeadline  = "Swiftswitch-Deadline-Milliseconds"
-	HeaderStamp     = "Swiftswitch-Server-Stamp"
-	HeaderExpected  = "Swiftswitch-Expected-Instance"
-	HeaderLoad      = "Swiftswitch-Server-Load"
-	HeaderNotRun    = "Swiftswitch-Not-Run"
-	HeaderInstance  = "Swiftswitch-Instance-Id"
-	HeaderParts     = "Swiftswitch-Part-Stamps"
-	HeaderMissing   = "Swiftswitch-Missing-Parts"
+	HeaderRequestID        = "Swiftswitch-Request-Id"
+	HeaderDeadline         = "Swiftswitch-Deadline-Milliseconds"
+	HeaderServerStamp      = "Swiftswitch-Server-Stamp"
+	HeaderExpectedInstance = "Swiftswitch-Expected-Instance"
+	HeaderServerLoad       = "Swiftswitch-Server-Load"
+	HeaderNotRun           = "Swiftswitch-Not-Run"
+	HeaderInstanceID       = "Swiftswitch-Instance-Id"
+	HeaderPartStamps       = "Swiftswitch-Part-Stamps"
+	HeaderMissingParts     = "Swiftswitch-Missing-Parts"
 )
 
 // Request is a client's request, ready to be sent any number of times.
@@ -31,8 +31,8 @@
 	DeadlineMs float64
 	// Route is the name of the route that it came by, Aim the time in which
 	// an answer earns its full worth.
-	Route string
-	Aim   time.Duration
+	Route         string
+	LatencyTarget time.Duration
 	// own: it is the system's, and searchers don't give its id back.
 	own  bool
 	head []byte
@@ -46,8 +46,8 @@
 	"proxy-authenticate": true, "proxy-authorization": true,
 }
 
-// IsHop tells whether a header concerns one connection only.
-func IsHop(name string) bool { return hop[strings.ToLower(name)] }
+// IsHopByHop tells whether a header concerns one connection only.
+func IsHopByHop(name string) bool { return hop[strings.ToLower(name)] }
 
 // Errors of a request that no searcher may see.
 var (
@@ -160,15 +160,15 @@
 // Head gives the request line and headers as they go on; Plain tells whether that is all.
 func (r *Request) Head() string { return string(r.head) }
 
-// Plain tells whether the request has no body.
-func (r *Request) Plain() bool { return len(r.body) == 0 && r.Method == "GET" }
+// IsGetWithoutBody tells whether the request has no body.
+func (r *Request) IsGetWithoutBody() bool { return len(r.body) == 0 && r.Method == "GET" }
 
 // HasBody tells whether a body came with the request.
 func (r *Request) HasBody() bool { return len(r.body) > 0 }
 
-// Read is a read of an object on the system's own account; etag, where it is
+// NewFetchRequest is a read of an object on the system's own account; etag, where it is
 // set, asks whether that version still holds.
-func Read(id, host, target, etag string) *Request {
+func NewFetchRequest(id, host, target, etag string) *Request {
 	b := "GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n" + HeaderRequestID + ": " + id + "\r\n"
 	if etag != "" {
 		b += "If-None-Match: " + etag + "\r\n"
@@ -176,8 +176,8 @@
 	return &Request{ID: id, Host: host, Method: "GET", Target: target, DeadlineMs: -1, own: true, head: []byte(b)}
 }
 
-// Lent is a request that another front has checked and passed on by its head.
-func Lent(head string) (*Request, bool) {
+// NewRelayedRequest is a request that another front has checked and passed on by its head.
+func NewRelayedRequest(head string) (*Request, bool) {
 	r := &Request{DeadlineMs: -1, head: []byte(head)}
 	lines := strings.Split(head, "\r\n")
 	first := strings.Split(lines[0], " ")
@@ -204,7 +204,7 @@
 	b = append(b, HeaderDeadline...)
 	b = append(b, ": "...)
 	b = strconv.AppendInt(b, leftMs, 10)
-	b = append(b, "\r\n"+HeaderExpected+": "...)
+	b = append(b, "\r\n"+HeaderExpectedInstance+": "...)
 	b = append(b, instance...)
 	b = append(b, "\r\n\r\n"...)
 	return append(b, r.body...)
--- a/internal/upstream/traverse.go
+++ b/internal/upstream/traverse.go
@@ -21,28 +21,28 @@
 // Options are ratios and bounds; none is tied to a deployment.
 type Options struct {
 	// Distance tells how far a zone is: 0 here, 1 in this region, 2 beyond.
-	Distance    func(zone string) int
-	UserTimeout time.Duration
-	DialWithin  time.Duration
-	MaxBody     int
-	// KeepIdle is how long a connection is kept where the searcher names no time.
-	KeepIdle time.Duration
-	// Settle is how long a connection must have rested for a read on the
+	Distance       func(zone string) int
+	TCPUserTimeout time.Duration
+	DialTimeout    time.Duration
+	MaxBodyBytes   int
+	// IdleTimeout is how long a connection is kept where the searcher names no time.
+	IdleTimeout time.Duration
+	// SettleTime is how long a connection must have rested for a read on the
 	// system's own account, whose answer carries no id to know it by.
-	Settle time.Duration
-	// FailsOut consecutive failures leave a searcher out for OutFor, longer each time.
-	FailsOut int
-	OutFor   time.Duration
-	// FarPenalty is added, as a part of the target, to the score of a searcher
+	SettleTime time.Duration
+	// ConsecutiveFailures consecutive failures leave a searcher out for OutFor, longer each time.
+	ConsecutiveFailures int
+	BaseEjectionTime    time.Duration
+	// DistancePenalty is added, as a part of the target, to the score of a searcher
 	// in another region; half of it to that of one in another zone of this.
-	FarPenalty float64
-	// Many is how many equally near searchers make it better to choose between two drawn of them.
-	Many int
-	// Self is this node's name: it draws which searchers the node may reach
+	DistancePenalty float64
+	// TwoChoicesThreshold is how many equally near searchers make it better to choose between two drawn of them.
+	TwoChoicesThreshold int
+	// NodeName is this node's name: it draws which searchers the node may reach
 	// where there are more nodes than connections.
-	Self string
-	// Forget is how long a measured latency keeps its weight without new ones.
-	Forget time.Duration
+	NodeName string
+	// DecayTime is how long a measured latency keeps its weight without new ones.
+	DecayTime time.Duration
 }
 
 // Verdict says what became of a try.
@@ -50,57 +50,57 @@
 
 // The verdicts.
 const (
-	// Answered: the searcher ran the request and its whole answer is in.
-	Answered Verdict = iota
-	// NotRun: the searcher promised that it did not run the request.
-	NotRun
-	// Unsent: no byte went out.
-	Unsent
-	// Unknown: bytes went out and no whole answer came.
-	Unknown
+	// OutcomeAnswered: the searcher ran the request and its whole answer is in.
+	OutcomeAnswered Verdict = iota
+	// OutcomeUnprocessed: the searcher promised that it did not run the request.
+	OutcomeUnprocessed
+	// OutcomeUnsent: no byte went out.
+	OutcomeUnsent
+	// OutcomeUnknown: bytes went out and no whole answer came.
+	OutcomeUnknown
 )
 
-// Outcome is the end of one try.
-type Outcome struct {
-	Verdict Verdict
-	Peer    *Peer
-	Status  int
-	Stamp   string
-	Resp    *protocol.Response
-	// Body stands for the answer's body where another front brought it.
-	Body []byte
-	Err  error
-	// Took is how long the exchange lasted, the connection's opening left out.
-	Took time.Duration
-	// Cold: the searcher had started so lately that it ran slow.
-	Cold bool
+// Attempt is the end of one try.
+type Attempt struct {
+	Outcome  Verdict
+	Endpoint *Endpoint
+	Status   int
+	Stamp    string
+	Response *protocol.Response
+	// RelayedBody stands for the answer's body where another front brought it.
+	RelayedBody []byte
+	Err         error
+	// Duration is how long the exchange lasted, the connection's opening left out.
+	Duration time.Duration
+	// WarmingUp: the searcher had started so lately that it ran slow.
+	WarmingUp bool
 	// shut: a new connection ended before a byte of the answer came.
 	shut bool
 }
 
 // Records is the body of the part.
-func (o *Outcome) Records() []byte {
-	if o.Resp != nil {
-		return o.Resp.Body()
+func (o *Attempt) Records() []byte {
+	if o.Response != nil {
+		return o.Response.Body()
 	}
-	return o.Body
+	return o.RelayedBody
 }
 
-// Good tells whether the outcome is a success with its stamp.
-func (o Outcome) Good() bool {
-	return o.Verdict == Answered && o.Status >= 200 && o.Status < 300 && o.Stamp != ""
+// Succeeded tells whether the outcome is a success with its stamp.
+func (o Attempt) Succeeded() bool {
+	return o.Outcome == OutcomeAnswered && o.Status >= 200 && o.Status < 300 && o.Stamp != ""
 }
 
 // Release gives the answer's memory back.
-func (o *Outcome) Release() {
-	if o.Resp != nil {
-		protocol.ReleaseResponse(o.Resp)
-		o.Resp = nil
+func (o *Attempt) Release() {
+	if o.Response != nil {
+		protocol.ReleaseResponse(o.Response)
+		o.Response = nil
 	}
 }
 
-// Peer is one searcher as this node sees it.
-type Peer struct {
+// Endpoint is one searcher as this node sees it.
+type Endpoint struct {
 	endpoints.Endpoint
 	far int
 	// draw ranks the searchers, differently for every node.
@@ -141,37 +141,37 @@
 	p90    float64
 }
 
-// Range is the set of all searchers that this node may reach.
-type Range struct {
+// Pool is the set of all searchers that this node may reach.
+type Pool struct {
 	opt Options
 
 	mu       sync.Mutex
-	peers    map[string]*Peer
-	services map[string][]*Peer
+	peers    map[string]*Endpoint
+	services map[string][]*Endpoint
 	tracks   map[string]*track
-	share    Fronts
+	share    FrontCounts
 	// near and scores are room for Choose to work in.
-	near   []*Peer
+	near   []*Endpoint
 	scores []float64
-	// Silent and Full are told of searchers that fall silent or answer fully,
+	// OnUnhealthy and Full are told of searchers that fall silent or answer fully,
 	// Miss that one did not answer, Seen of every try that a searcher was asked by.
-	Silent func(id string)
-	Full   func(id string)
-	Miss   func()
-	Seen   func(p *Peer, r *Request, o *Outcome)
+	OnUnhealthy   func(id string)
+	OnHealthy     func(id string)
+	OnUnreachable func()
+	OnAttempt     func(p *Endpoint, r *Request, o *Attempt)
 }
 
 // New makes an empty range.
-func New(o Options) *Range {
-	return &Range{opt: o, peers: map[string]*Peer{}, services: map[string][]*Peer{}, tracks: map[string]*track{},
-		Silent: func(string) {}, Full: func(string) {}, Miss: func() {}, Seen: func(*Peer, *Request, *Outcome) {}}
+func New(o Options) *Pool {
+	return &Pool{opt: o, peers: map[string]*Endpoint{}, services: map[string][]*Endpoint{}, tracks: map[string]*track{},
+		OnUnhealthy: func(string) {}, OnHealthy: func(string) {}, OnUnreachable: func() {}, OnAttempt: func(*Endpoint, *Request, *Attempt) {}}
 }
 
-// SetShare says how many front nodes share each searcher's connections.
-func (g *Range) SetShare(f Fronts) { g.mu.Lock(); g.share = f; g.mu.Unlock() }
+// SetFrontCounts says how many front nodes share each searcher's connections.
+func (g *Pool) SetFrontCounts(f FrontCounts) { g.mu.Lock(); g.share = f; g.mu.Unlock() }
 
-// Out counts the searchers that are listed and have fallen silent.
-func (g *Range) Out() int {
+// UnhealthyCount counts the searchers that are listed and have fallen silent.
+func (g *Pool) UnhealthyCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
@@ -183,14 +183,14 @@
 	return n
 }
 
-// SetLimit says how many connections each searcher of a service takes.
-func (g *Range) SetLimit(service string, limit int) {
+// SetConnectionLimit says how many connections each searcher of a service takes.
+func (g *Pool) SetConnectionLimit(service string, limit int) {
 	g.mu.Lock()
 	g.track(service).limit = limit
 	g.mu.Unlock()
 }
 
-func (g *Range) track(service string) *track {
+func (g *Pool) track(service string) *track {
 	t := g.tracks[service]
 	if t == nil {
 		t = &track{}
@@ -200,11 +200,11 @@
 }
 
 // SetTable takes the platform's list. Draining searchers get nothing more.
-func (g *Range) SetTable(t *endpoints.Table) {
+func (g *Pool) SetTable(t *endpoints.Table) {
 	var shut []*transport.Conn
 	g.mu.Lock()
 	seen := map[string]bool{}
-	services := map[string][]*Peer{}
+	services := map[string][]*Endpoint{}
 	for _, s := range t.Endpoints {
 		if s.Draining {
 			continue
@@ -212,7 +212,7 @@
 		seen[s.ID] = true
 		p := g.peers[s.ID]
 		if p == nil {
-			p = &Peer{Endpoint: s, far: g.opt.Distance(s.Zone), draw: Draw(g.opt.Self + " " + s.ID)}
+			p = &Endpoint{Endpoint: s, far: g.opt.Distance(s.Zone), draw: HashString(g.opt.NodeName + " " + s.ID)}
 			g.peers[s.ID] = p
 		}
 		// The rest never changes in one life, and is read without the lock.
@@ -234,28 +234,28 @@
 	}
 }
 
-// Among names the searchers that a try may go to: those of a service, of a
+// Selector names the searchers that a try may go to: those of a service, of a
 // version where one is given, and of these only the holders where they are given.
-type Among struct {
+type Selector struct {
 	Service string
 	Version string
-	Holders []string
+	IDs     []string
 }
 
 // has tells whether a searcher of the service is among them.
-func (a *Among) has(p *Peer) bool {
-	return a == nil || (a.Version == "" || p.Version == a.Version) && (a.Holders == nil || contains(a.Holders, p.ID))
+func (a *Selector) has(p *Endpoint) bool {
+	return a == nil || (a.Version == "" || p.Version == a.Version) && (a.IDs == nil || contains(a.IDs, p.ID))
 }
 
-// Choose picks the searcher that promises to answer first among those
+// Pick picks the searcher that promises to answer first among those
 // allowed, leaving out those in not. It counts the try as under
 // way; Try must follow. target is the route's aim. With spare, only a
 // searcher that is not known to be full will do.
-func (g *Range) Choose(a Among, not []*Peer, target time.Duration, spare bool) (*Peer, time.Time) {
+func (g *Pool) Pick(a Selector, not []*Endpoint, target time.Duration, spare bool) (*Endpoint, time.Time) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var best *Peer
+	var best *Endpoint
 	bestScore := math.Inf(1)
 	t := g.track(a.Service)
 	reach := g.reach(a.Service, a.Version, t, now)
@@ -285,7 +285,7 @@
 		}
 	}
 	g.near, g.scores = near, scores
-	if len(near) >= g.opt.Many {
+	if len(near) >= g.opt.TwoChoicesThreshold {
 		// All fronts know about the same: were each to take the best, they
 		// would meet there. The better of two drawn spreads them.
 		i, j := rand.IntN(len(near)), rand.IntN(len(near)-1)
@@ -313,7 +313,7 @@
 	return false
 }
 
-func has(l []*Peer, p *Peer) bool {
+func has(l []*Endpoint, p *Endpoint) bool {
 	for _, x := range l {
 		if x == p {
 			return true
@@ -326,14 +326,14 @@
 const left = 1e7
 
 // score is the time, in milliseconds, after which an answer is expected.
-func (g *Range) score(p *Peer, t *track, target time.Duration, now time.Time) float64 {
+func (g *Pool) score(p *Endpoint, t *track, target time.Duration, now time.Time) float64 {
 	base := t.p50
 	if base == 0 {
 		base = ms(target) / 8
 	}
 	lat := base
 	if p.ewma > 0 {
-		w := math.Exp(-float64(now.Sub(p.sample)) / float64(g.opt.Forget))
+		w := math.Exp(-float64(now.Sub(p.sample)) / float64(g.opt.DecayTime))
 		lat = p.ewma*w + base*(1-w)
 	}
 	slots := max(1, p.Slots)
@@ -345,7 +345,7 @@
 	if p.WarmingUp {
 		s += lat * 0.6
 	}
-	s += g.opt.FarPenalty * ms(target) * float64(p.far) / 2
+	s += g.opt.DistancePenalty * ms(target) * float64(p.far) / 2
 	if len(p.inflight) > 0 {
 		// Somebody who keeps a request for long is not as fast as its past.
 		if age := ms(now.Sub(p.inflight[0])); age > 2*lat {
@@ -356,7 +356,7 @@
 	if now.Before(p.told) {
 		s += left / 2
 	}
-	if now.Before(p.outUntil) || p.fails >= g.opt.FailsOut && len(p.inflight) > 0 {
+	if now.Before(p.outUntil) || p.fails >= g.opt.ConsecutiveFailures && len(p.inflight) > 0 {
 		s += left
 	}
 	return s
@@ -364,9 +364,9 @@
 
 // queue is how many requests a searcher is known to have: this node's own, or
 // what it told lately, which counts less the longer ago that was.
-func (g *Range) queue(p *Peer, now time.Time) int {
+func (g *Pool) queue(p *Endpoint, now time.Time) int {
 	told := float64(p.running + p.waiting)
-	fresh, stale := g.opt.Forget/30, g.opt.Forget/8
+	fresh, stale := g.opt.DecayTime/30, g.opt.DecayTime/8
 	if age := now.Sub(p.loadAt); age > stale {
 		told = 0
 	} else if age > fresh {
@@ -375,9 +375,9 @@
 	return max(len(p.inflight), int(told))
 }
 
-// Crowded tells whether every searcher that may take a request has more than
+// Overloaded tells whether every searcher that may take a request has more than
 // factor times its slots to do already.
-func (g *Range) Crowded(a Among, factor float64) bool {
+func (g *Pool) Overloaded(a Selector, factor float64) bool {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -406,13 +406,13 @@
 // limit is how many connections this node may use to a searcher, 0 for none
 // and below 0 for any number: its part of the limit of the service, or fewer
 // where the searcher shut new ones lately.
-func (g *Range) limit(p *Peer, t *track, r reach, now time.Time) int {
+func (g *Pool) limit(p *Endpoint, t *track, r reach, now time.Time) int {
 	n := -1
 	if t.limit > 0 {
 		n = r.of(p)
 	}
 	if p.room > 0 && n != 0 {
-		room := p.room + int(now.Sub(p.roomAt)/(g.opt.Forget/30))
+		room := p.room + int(now.Sub(p.roomAt)/(g.opt.DecayTime/30))
 		if n > 0 && room >= n {
 			p.room = 0
 			return n
@@ -422,8 +422,8 @@
 	return n
 }
 
-// Latency gives the median and the ninth decile of a service's lately measured latencies; 0 where nothing is known.
-func (g *Range) Latency(service string) (p50, p90 time.Duration) {
+// LatencyPercentiles gives the median and the ninth decile of a service's lately measured latencies; 0 where nothing is known.
+func (g *Pool) LatencyPercentiles(service string) (p50, p90 time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.track(service)
@@ -435,7 +435,7 @@
 // connection takes the idle connection that has rested longest: whatever a
 // searcher sent too much has had the time to come and be noticed. One that has
 // rested for less than settle stays where it is.
-func (g *Range) connection(p *Peer, now time.Time, settle time.Duration) *transport.Conn {
+func (g *Pool) connection(p *Endpoint, now time.Time, settle time.Duration) *transport.Conn {
 	for {
 		g.mu.Lock()
 		if len(p.idle) == 0 || now.Sub(p.idle[0].IdleSince) < settle {
@@ -458,10 +458,10 @@
 // doubt notes that a searcher sent bytes that belong to no request. More may
 // be on their way on its other connections: they end, and for a while each
 // carries one request only.
-func (g *Range) doubt(p *Peer, now time.Time) {
+func (g *Pool) doubt(p *Endpoint, now time.Time) {
 	g.mu.Lock()
 	shut := p.idle
-	p.idle, p.doubtUntil = nil, now.Add(g.opt.Forget)
+	p.idle, p.doubtUntil = nil, now.Add(g.opt.DecayTime)
 	g.mu.Unlock()
 	for _, c := range shut {
 		_ = c.Close()
@@ -469,40 +469,40 @@
 	events.Log(events.UnsolicitedResponse, "searcher", p.ID)
 }
 
-// Try sends the request to a chosen searcher and waits for its answer until
+// Do sends the request to a chosen searcher and waits for its answer until
 // the deadline. It never sends anything twice.
-func (g *Range) Try(p *Peer, r *Request, start, deadline time.Time) Outcome {
+func (g *Pool) Do(p *Endpoint, r *Request, start, deadline time.Time) Attempt {
 	o := g.try(p, r, deadline)
-	o.Peer = p
+	o.Endpoint = p
 	g.learn(p, &o, start)
-	if !o.shut && (o.Verdict == Answered || o.Verdict == Unknown) {
-		g.Seen(p, r, &o)
+	if !o.shut && (o.Outcome == OutcomeAnswered || o.Outcome == OutcomeUnknown) {
+		g.OnAttempt(p, r, &o)
 	}
 	return o
 }
 
-func (g *Range) try(p *Peer, r *Request, deadline time.Time) Outcome {
+func (g *Pool) try(p *Endpoint, r *Request, deadline time.Time) Attempt {
 	now := time.Now()
 	left := deadline.Sub(now)
 	if left < time.Millisecond {
-		return Outcome{Verdict: Unsent, Err: errLate}
+		return Attempt{Outcome: OutcomeUnsent, Err: errLate}
 	}
 	settle := time.Duration(0)
 	if r.own {
-		settle = g.opt.Settle
+		settle = g.opt.SettleTime
 	}
 	c := g.connection(p, now, settle)
 	fresh := c == nil
 	if fresh {
 		var err error
-		if c, err = transport.Dial(p.Addr, min(left, g.opt.DialWithin), g.opt.UserTimeout); err != nil {
-			return Outcome{Verdict: Unsent, Err: err}
+		if c, err = transport.Dial(p.Addr, min(left, g.opt.DialTimeout), g.opt.TCPUserTimeout); err != nil {
+			return Attempt{Outcome: OutcomeUnsent, Err: err}
 		}
 		left = time.Until(deadline)
 	}
 	out := protocol.AcquireResponse()
 	began := time.Now()
-	sent, err := c.Exchange(r.bytesFor(p.ID, int64(left/time.Millisecond)), deadline, r.Method == "HEAD", g.opt.MaxBody, out)
+	sent, err := c.Exchange(r.bytesFor(p.ID, int64(left/time.Millisecond)), deadline, r.Method == "HEAD", g.opt.MaxBodyBytes, out)
 	if err == nil && !belongs(out, r.ID) {
 		err = transport.ErrUnsolicited
 	}
@@ -510,14 +510,14 @@
 		_ = c.Close()
 		protocol.ReleaseResponse(out)
 		if !sent {
-			return Outcome{Verdict: Unsent, Err: err}
+			return Attempt{Outcome: OutcomeUnsent, Err: err}
 		}
 		events.Log(events.ResponseMalformed, "searcher", p.ID, "err", err)
-		return Outcome{Verdict: Unknown, Err: err, Took: time.Since(began), shut: fresh && ended(err)}
+		return Attempt{Outcome: OutcomeUnknown, Err: err, Duration: time.Since(began), shut: fresh && ended(err)}
 	}
-	o := Outcome{Verdict: Answered, Status: out.StatusCode(), Stamp: string(out.Header.Peek(HeaderStamp)), Resp: out, Took: time.Since(began)}
+	o := Attempt{Outcome: OutcomeAnswered, Status: out.StatusCode(), Stamp: string(out.Header.Peek(HeaderServerStamp)), Response: out, Duration: time.Since(began)}
 	if o.Status == 421 || len(out.Header.Peek(HeaderNotRun)) > 0 {
-		o.Verdict = NotRun
+		o.Outcome = OutcomeUnprocessed
 	}
 	g.note(p, out)
 	switch {
@@ -540,7 +540,7 @@
 			return false
 		}
 	}
-	return len(out.Header.PeekAll(HeaderStamp)) <= 1
+	return len(out.Header.PeekAll(HeaderServerStamp)) <= 1
 }
 
 // ended tells whether a connection was closed or reset by the searcher.
@@ -555,8 +555,8 @@
 func (e errorString) Error() string { return string(e) }
 
 // note reads the load that a searcher tells.
-func (g *Range) note(p *Peer, out *protocol.Response) {
-	v := out.Header.Peek(HeaderLoad)
+func (g *Pool) note(p *Endpoint, out *protocol.Response) {
+	v := out.Header.Peek(HeaderServerLoad)
 	if len(v) == 0 {
 		return
 	}
@@ -575,8 +575,8 @@
 }
 
 // rest puts a connection aside for the next request.
-func (g *Range) rest(p *Peer, c *transport.Conn, out *protocol.Response) {
-	c.IdleSince, c.IdleTimeout = time.Now(), g.opt.KeepIdle
+func (g *Pool) rest(p *Endpoint, c *transport.Conn, out *protocol.Response) {
+	c.IdleSince, c.IdleTimeout = time.Now(), g.opt.IdleTimeout
 	if ka := string(out.Header.Peek("Keep-Alive")); ka != "" {
 		for _, part := range strings.Split(ka, ",") {
 			if k, v, ok := strings.Cut(strings.TrimSpace(part), "="); ok && strings.EqualFold(k, "timeout") {
@@ -598,21 +598,21 @@
 }
 
 // learn takes what a try tells of its searcher.
-func (g *Range) learn(p *Peer, o *Outcome, start time.Time) {
+func (g *Pool) learn(p *Endpoint, o *Attempt, start time.Time) {
 	now := time.Now()
 	took := ms(now.Sub(start))
 	full, silent, missed := false, false, false
 	g.mu.Lock()
 	p.ended(start)
-	o.Cold = p.WarmingUp
+	o.WarmingUp = p.WarmingUp
 	switch {
-	case o.Verdict == Answered || o.Verdict == NotRun && o.Status != 421:
-		if p.fails >= g.opt.FailsOut {
+	case o.Outcome == OutcomeAnswered || o.Outcome == OutcomeUnprocessed && o.Status != 421:
+		if p.fails >= g.opt.ConsecutiveFailures {
 			events.Log(events.EndpointRestored, "searcher", p.ID)
 		}
 		p.fails, p.outs, p.outUntil = 0, 0, time.Time{}
-		if o.Verdict == Answered {
-			full = o.Good() && (!p.full || p.silent)
+		if o.Outcome == OutcomeAnswered {
+			full = o.Succeeded() && (!p.full || p.silent)
 			if full {
 				p.full, p.silent = true, false
 			}
@@ -629,38 +629,38 @@
 		}
 	case o.Status == 421:
 		// Another searcher lives there now; the list will say so soon.
-		p.outUntil = now.Add(g.opt.OutFor)
+		p.outUntil = now.Add(g.opt.BaseEjectionTime)
 	case o.Err == errLate:
 	case o.shut:
 		// It has too many connections, and is not dead: make do with fewer for a while.
 		p.room, p.roomAt = max(1, len(p.inflight)*7/10), now
 		if len(p.inflight) == 0 {
-			p.outUntil = now.Add(g.opt.OutFor / 4)
+			p.outUntil = now.Add(g.opt.BaseEjectionTime / 4)
 		}
 	default:
 		p.fails++
-		if missed = o.Verdict == Unsent || ended(o.Err) || took > patience*g.track(p.Service).p50 && errors.Is(o.Err, os.ErrDeadlineExceeded); missed {
+		if missed = o.Outcome == OutcomeUnsent || ended(o.Err) || took > patience*g.track(p.Service).p50 && errors.Is(o.Err, os.ErrDeadlineExceeded); missed {
 			p.missedAt = now
 		}
-		if p.fails >= g.opt.FailsOut {
+		if p.fails >= g.opt.ConsecutiveFailures {
 			silent = !p.silent
 			p.silent = true
 			if !now.Before(p.outUntil) {
 				p.outs = min(p.outs+1, 3)
-				p.outUntil = now.Add(g.opt.OutFor << (p.outs - 1))
+				p.outUntil = now.Add(g.opt.BaseEjectionTime << (p.outs - 1))
 				events.Log(events.EndpointEjected, "searcher", p.ID, "err", o.Err)
 			}
 		}
 	}
 	g.mu.Unlock()
 	if full {
-		g.Full(p.ID)
+		g.OnHealthy(p.ID)
 	}
 	if silent {
-		g.Silent(p.ID)
+		g.OnUnhealthy(p.ID)
 	}
 	if missed {
-		g.Miss()
+		g.OnUnreachable()
 	}
 }
 
@@ -684,9 +684,9 @@
 	}
 }
 
-// Sweep closes connections that have rested too long, and those beyond what
+// PruneIdle closes connections that have rested too long, and those beyond what
 // this node may have.
-func (g *Range) Sweep(now time.Time) {
+func (g *Pool) PruneIdle(now time.Time) {
 	var shut []*transport.Conn
 	g.mu.Lock()
 	for _, p := range g.peers {
@@ -712,26 +712,26 @@
 }
 
 // Distance tells how far a zone is from this node.
-func (g *Range) Distance(zone string) int { return g.opt.Distance(zone) }
+func (g *Pool) Distance(zone string) int { return g.opt.Distance(zone) }
 
-// Far tells how far the searcher is: 0 in this node's zone, 1 in its region, 2 beyond.
-func (p *Peer) Far() int { return p.far }
+// Distance tells how far the searcher is: 0 in this node's zone, 1 in its region, 2 beyond.
+func (p *Endpoint) Distance() int { return p.far }
 
-// Near tells whether the searcher is in this node's zone.
-func (p *Peer) Near() bool { return p.far == 0 }
+// InLocalZone tells whether the searcher is in this node's zone.
+func (p *Endpoint) InLocalZone() bool { return p.far == 0 }
 
 // usable tells whether a searcher may be asked now.
-func (g *Range) usable(p *Peer, a *Among, now time.Time) bool {
-	return a.has(p) && p.fails < g.opt.FailsOut && now.After(p.outUntil)
+func (g *Pool) usable(p *Endpoint, a *Selector, now time.Time) bool {
+	return a.has(p) && p.fails < g.opt.ConsecutiveFailures && now.After(p.outUntil)
 }
 
 // trusted tells whether a searcher in another zone may be asked for, by way of a front there.
-func (g *Range) trusted(p *Peer, a *Among, now time.Time) bool {
+func (g *Pool) trusted(p *Endpoint, a *Selector, now time.Time) bool {
 	return g.usable(p, a, now) && !now.Before(p.told)
 }
 
-// Zones lists the zones in which a service has a searcher in good order.
-func (g *Range) Zones(a Among) []string {
+// HealthyZones lists the zones in which a service has a searcher in good order.
+func (g *Pool) HealthyZones(a Selector) []string {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -744,8 +744,8 @@
 	return out
 }
 
-// In gives a searcher of a service in a zone that is in good order, or nil.
-func (g *Range) In(a Among, zone string) *Peer {
+// HealthyInZone gives a searcher of a service in a zone that is in good order, or nil.
+func (g *Pool) HealthyInZone(a Selector, zone string) *Endpoint {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -757,14 +757,14 @@
 	return nil
 }
 
-// Unchoose takes back a choice that was not followed by a try.
-func (g *Range) Unchoose(p *Peer, start time.Time) {
+// CancelPick takes back a choice that was not followed by a try.
+func (g *Pool) CancelPick(p *Endpoint, start time.Time) {
 	g.mu.Lock()
 	p.ended(start)
 	g.mu.Unlock()
 }
 
-func (p *Peer) ended(start time.Time) {
+func (p *Endpoint) ended(start time.Time) {
 	for i, t := range p.inflight {
 		if t.Equal(start) {
 			p.inflight = append(p.inflight[:i], p.inflight[i+1:]...)
--- a/internal/upstream/traverse_test.go
+++ b/internal/upstream/traverse_test.go
@@ -63,53 +63,53 @@
 			return 0
 		}
 		return 2
-	}, Many: 5, FailsOut: 3, OutFor: time.Second, FarPenalty: 0.15, Forget: 3 * time.Second})
+	}, TwoChoicesThreshold: 5, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, DistancePenalty: 0.15, DecayTime: 3 * time.Second})
 	tab, _ := endpoints.NextTable(nil, []endpoints.Endpoint{
 		{ID: "a", Service: "s", Zone: "near", Slots: 2}, {ID: "b", Service: "s", Zone: "far", Slots: 2},
 		{ID: "d", Service: "s", Zone: "near", Slots: 2, Draining: true}, {ID: "o", Service: "other", Zone: "near"},
 	}, endpoints.Stamp{Epoch: 1})
 	g.SetTable(tab)
 	target := 100 * time.Millisecond
-	p, start := g.Choose(Among{Service: "s"}, nil, target, false)
+	p, start := g.Pick(Selector{Service: "s"}, nil, target, false)
 	if p.ID != "a" {
 		t.Fatalf("the near one is not preferred: %s", p.ID)
 	}
-	if q, _ := g.Choose(Among{Service: "s"}, []*Peer{p}, target, false); q.ID != "b" {
+	if q, _ := g.Pick(Selector{Service: "s"}, []*Endpoint{p}, target, false); q.ID != "b" {
 		t.Fatal("a second try does not go elsewhere")
 	}
-	if q, _ := g.Choose(Among{Service: "s", Holders: []string{"x"}}, nil, target, false); q != nil {
+	if q, _ := g.Pick(Selector{Service: "s", IDs: []string{"x"}}, nil, target, false); q != nil {
 		t.Fatal("a searcher without a slot was chosen")
 	}
 	var silent []string
-	g.Silent = func(id string) { silent = append(silent, id) }
-	g.learn(p, &Outcome{Verdict: Unknown}, start)
+	g.OnUnhealthy = func(id string) { silent = append(silent, id) }
+	g.learn(p, &Attempt{Outcome: OutcomeUnknown}, start)
 	for i := 0; i < 2; i++ {
 		p.inflight = append(p.inflight, start)
-		g.learn(p, &Outcome{Verdict: Unknown}, start)
+		g.learn(p, &Attempt{Outcome: OutcomeUnknown}, start)
 	}
 	if len(silent) != 1 || silent[0] != "a" {
 		t.Fatalf("silence told: %v", silent)
 	}
-	if q, _ := g.Choose(Among{Service: "s"}, nil, target, false); q.ID != "b" {
+	if q, _ := g.Pick(Selector{Service: "s"}, nil, target, false); q.ID != "b" {
 		t.Fatal("a searcher that failed three times is still first")
 	}
-	g.SetLimit("s", 4)
-	g.SetShare(Fronts{All: 4})
-	if q, _ := g.Choose(Among{Service: "s", Holders: []string{"b"}}, nil, target, false); q != nil {
+	g.SetConnectionLimit("s", 4)
+	g.SetFrontCounts(FrontCounts{All: 4})
+	if q, _ := g.Pick(Selector{Service: "s", IDs: []string{"b"}}, nil, target, false); q != nil {
 		t.Fatal("the connections that others need were taken")
 	}
 	b := g.peers["b"]
 	b.running, b.waiting, b.loadAt = 2, 0, time.Now()
-	if q, _ := g.Choose(Among{Service: "s", Holders: []string{"b"}}, nil, target, true); q != nil {
+	if q, _ := g.Pick(Selector{Service: "s", IDs: []string{"b"}}, nil, target, true); q != nil {
 		t.Fatal("a full searcher was chosen as company for a straggler")
 	}
 	// A searcher that shuts new connections gets fewer, and more again later.
-	g.SetLimit("s", 40)
+	g.SetConnectionLimit("s", 40)
 	b.loadAt, b.fails, b.outUntil = time.Time{}, 0, time.Time{}
 	for len(b.inflight) < 8 {
 		b.inflight = append(b.inflight, time.Now())
 	}
-	g.learn(b, &Outcome{Verdict: Unknown, shut: true}, b.inflight[0])
+	g.learn(b, &Attempt{Outcome: OutcomeUnknown, shut: true}, b.inflight[0])
 	if n := g.limit(b, g.track("s"), g.reach("s", "", g.track("s"), time.Now()), time.Now()); n != 4 || b.fails != 0 {
 		t.Fatalf("room for %d connections, %d failures", n, b.fails)
 	}
@@ -117,9 +117,9 @@
 		t.Fatalf("room for %d connections later", n)
 	}
 	var full []string
-	g.Full = func(id string) { full = append(full, id) }
+	g.OnHealthy = func(id string) { full = append(full, id) }
 	for i := 0; i < 2; i++ {
-		g.learn(p, &Outcome{Verdict: Answered, Status: 200, Stamp: "x"}, start)
+		g.learn(p, &Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}, start)
 	}
 	if strings.Join(full, ",") != "a" || p.fails != 0 {
 		t.Fatalf("a searcher that is back was told %v times", full)
