--- a/internal/cache/copy.go
+++ b/internal/cache/copy.go
@@ -12,8 +12,8 @@
 	Value string `json:"Value"`
 }
 
-// Copy is a whole object as an origin served it. It is never changed once made.
-type Copy struct {
+// Object is a whole object as an origin served it. It is never changed once made.
+type Object struct {
 	Host, Target string
 	// Service is where it came from.
 	Service string
@@ -22,10 +22,10 @@
 	ETag    string
 	Stamp   string
 	Tags    []string
-	// Born is when the fetch that last confirmed it began, on this node's steady clock.
-	Born time.Duration
-	// Known is the number of the last purge that was known when that fetch began.
-	Known int64
+	// FetchedAt is when the fetch that last confirmed it began, on this node's steady clock.
+	FetchedAt time.Duration
+	// KnownPurge is the number of the last purge that was known when that fetch began.
+	KnownPurge int64
 }
 
 // Key names an object; neither the case of the host nor a port counts.
@@ -37,10 +37,10 @@
 }
 
 // Key names the copy's object.
-func (c *Copy) Key() string { return Key(c.Host, c.Target) }
+func (c *Object) Key() string { return Key(c.Host, c.Target) }
 
 // Size is about what the copy takes in memory.
-func (c *Copy) Size() int {
+func (c *Object) Size() int {
 	n := 256 + len(c.Host) + len(c.Target) + len(c.Body) + len(c.ETag) + len(c.Stamp)
 	for _, f := range c.Fields {
 		n += 48 + len(f.Name) + len(f.Value)
@@ -48,41 +48,41 @@
 	return n
 }
 
-// Fresh tells whether the copy may be served as far as its age goes.
-func (c *Copy) Fresh(lifetime, now time.Duration) bool {
-	return c != nil && now-c.Born <= lifetime
+// IsFresh tells whether the copy may be served as far as its age goes.
+func (c *Object) IsFresh(lifetime, now time.Duration) bool {
+	return c != nil && now-c.FetchedAt <= lifetime
 }
 
 // Age is how long ago the copy was last confirmed.
-func (c *Copy) Age(now time.Duration) time.Duration { return max(0, now-c.Born) }
+func (c *Object) Age(now time.Duration) time.Duration { return max(0, now-c.FetchedAt) }
 
-// Confirmed is the copy after the origin said that it still holds.
-func (c *Copy) Confirmed(born time.Duration, known int64) *Copy {
+// Revalidated is the copy after the origin said that it still holds.
+func (c *Object) Revalidated(born time.Duration, known int64) *Object {
 	n := *c
-	n.Born, n.Known = born, known
+	n.FetchedAt, n.KnownPurge = born, known
 	return &n
 }
 
-// Ask is what a client wants of an object.
-type Ask struct {
+// RequestConditions is what a client wants of an object.
+type RequestConditions struct {
 	Method, Range, IfRange, IfNoneMatch string
 }
 
-// Answer is how a copy answers an Ask.
-type Answer struct {
+// Response is how a copy answers an Ask.
+type Response struct {
 	Status int
 	Body   []byte
 	// ContentRange is set for 206 and 416.
 	ContentRange string
 }
 
-// Answer follows RFC 9110: the condition first, then the range. A range that
+// Respond follows RFC 9110: the condition first, then the range. A range that
 // can't be read, another unit than bytes or several ranges bring the whole.
-func (c *Copy) Answer(a Ask) Answer {
+func (c *Object) Respond(a RequestConditions) Response {
 	if a.IfNoneMatch != "" && c.matches(a.IfNoneMatch) {
-		return Answer{Status: 304}
+		return Response{Status: 304}
 	}
-	whole := Answer{Status: 200, Body: c.Body}
+	whole := Response{Status: 200, Body: c.Body}
 	if a.Range == "" || a.Method != "GET" || a.IfRange != "" && (a.IfRange != c.ETag || strings.HasPrefix(c.ETag, "W/")) {
 		return whole
 	}
@@ -92,15 +92,15 @@
 	}
 	size := strconv.Itoa(len(c.Body))
 	if from > to {
-		return Answer{Status: 416, ContentRange: "bytes */" + size}
+		return Response{Status: 416, ContentRange: "bytes */" + size}
 	}
-	return Answer{
+	return Response{
 		Status: 206, Body: c.Body[from : to+1],
 		ContentRange: "bytes " + strconv.FormatInt(from, 10) + "-" + strconv.FormatInt(to, 10) + "/" + size,
 	}
 }
 
-func (c *Copy) matches(list string) bool {
+func (c *Object) matches(list string) bool {
 	if strings.TrimSpace(list) == "*" {
 		return true
 	}
--- a/internal/cache/larder_test.go
+++ b/internal/cache/larder_test.go
@@ -13,10 +13,10 @@
 // kept is a node that keeps copies: what a trace is played against. Times are
 // in milliseconds.
 type kept struct {
-	shelf   *Shelf
-	notices *Notices
-	stove   *Stove
-	flights map[string]*Flight
+	shelf   *Store
+	notices *PurgeLog
+	stove   *FetchQueue
+	flights map[string]*Fetch
 }
 
 func ms(s string) time.Duration {
@@ -30,17 +30,17 @@
 func num(s string) int64 { return int64(ms(s) / time.Millisecond) }
 
 // good is what a node asks before it serves a copy.
-func (k *kept) good(c *Copy, lifetime, now time.Duration) bool {
-	return c.Fresh(lifetime, now) && !k.notices.Kills(c)
+func (k *kept) good(c *Object, lifetime, now time.Duration) bool {
+	return c.IsFresh(lifetime, now) && !k.notices.Invalidates(c)
 }
 
 func (k *kept) play(f []string) error {
 	now := ms(f[0])
 	switch f[1] {
 	case "starts": // starts SEQ: a node without copies
-		k.shelf, k.notices, k.stove, k.flights = NewShelf(100_000), NewNotices(num(f[2])), NewStove(), map[string]*Flight{}
+		k.shelf, k.notices, k.stove, k.flights = NewStore(100_000), NewPurgeLog(num(f[2])), NewFetchQueue(), map[string]*Fetch{}
 	case "asked": // asked OBJECT SOON LEFT
-		k.flights[f[2]] = k.stove.Want("h", f[2], "o", 1, now, now+ms(f[4]), ms(f[3]))
+		k.flights[f[2]] = k.stove.Enqueue("h", f[2], "o", 1, now, now+ms(f[4]), ms(f[3]))
 	case "fetch": // fetch OBJECT|none: the next fetch begins
 		got := "none"
 		if fl := k.stove.Next("o", k.notices.Seq, now); fl != nil {
@@ -54,22 +54,22 @@
 		}
 	case "brought", "same": // brought OBJECT ETAG TAGS; same OBJECT: the fetch ends
 		fl := k.flights[f[2]]
-		var c *Copy
+		var c *Object
 		if f[1] == "same" {
 			old, _ := k.shelf.Peek(fl.Key())
-			c = old.Confirmed(fl.Began, fl.Known)
+			c = old.Revalidated(fl.StartedAt, fl.KnownPurge)
 		} else {
-			c = &Copy{Host: "h", Target: f[2], Service: "o", ETag: f[3], Tags: SplitTags(strings.Join(f[4:], " ")), Born: fl.Began, Known: fl.Known, Body: make([]byte, 100)}
+			c = &Object{Host: "h", Target: f[2], Service: "o", ETag: f[3], Tags: SplitTags(strings.Join(f[4:], " ")), FetchedAt: fl.StartedAt, KnownPurge: fl.KnownPurge, Body: make([]byte, 100)}
 		}
-		if k.notices.Kills(c) {
-			k.stove.Again(fl)
+		if k.notices.Invalidates(c) {
+			k.stove.Requeue(fl)
 			return nil
 		}
 		k.shelf.Put(c)
-		fl.Copy = c
-		k.stove.End(fl, 200, "")
+		fl.Object = c
+		k.stove.Finish(fl, 200, "")
 	case "handed": // handed OBJECT ETAG AGE KNOWN TAGS: a copy comes from another node
-		k.shelf.Put(&Copy{Host: "h", Target: f[2], Service: "o", ETag: f[3], Born: now - ms(f[4]), Known: num(f[5]), Tags: SplitTags(strings.Join(f[6:], " ")), Body: make([]byte, 100)})
+		k.shelf.Put(&Object{Host: "h", Target: f[2], Service: "o", ETag: f[3], FetchedAt: now - ms(f[4]), KnownPurge: num(f[5]), Tags: SplitTags(strings.Join(f[6:], " ")), Body: make([]byte, 100)})
 	case "purge": // purge SEQ FLOOR [/PATH | TAG]...: the newest ones, the last being SEQ
 		var l []Purge
 		for i, name := range f[4:] {
@@ -81,7 +81,7 @@
 			}
 			l = append(l, p)
 		}
-		k.notices.Take(num(f[2]), num(f[3]), l)
+		k.notices.Apply(num(f[2]), num(f[3]), l)
 	case "serves": // serves OBJECT LIFETIME ETAG|nothing
 		got := "nothing"
 		if c := k.shelf.Get(Key("h", f[2])); k.good(c, ms(f[3]), now) {
@@ -106,35 +106,35 @@
 
 // One copy answers the whole, ranges and conditions as RFC 9110 has it.
 func TestAnswers(t *testing.T) {
-	c := &Copy{Body: []byte("0123456789"), ETag: `"v1"`}
+	c := &Object{Body: []byte("0123456789"), ETag: `"v1"`}
 	for _, x := range []struct {
-		ask    Ask
+		ask    RequestConditions
 		status int
 		body   string
 		span   string
 	}{
-		{Ask{Method: "GET"}, 200, "0123456789", ""},
-		{Ask{Method: "GET", Range: "bytes=2-4"}, 206, "234", "bytes 2-4/10"},
-		{Ask{Method: "GET", Range: "bytes=7-"}, 206, "789", "bytes 7-9/10"},
-		{Ask{Method: "GET", Range: "Bytes=7-99"}, 206, "789", "bytes 7-9/10"},
-		{Ask{Method: "GET", Range: "bytes=-3"}, 206, "789", "bytes 7-9/10"},
-		{Ask{Method: "GET", Range: "bytes=-30"}, 206, "0123456789", "bytes 0-9/10"},
-		{Ask{Method: "GET", Range: "bytes=10-"}, 416, "", "bytes */10"},
-		{Ask{Method: "GET", Range: "bytes=99999999999999999999-"}, 416, "", "bytes */10"},
-		{Ask{Method: "GET", Range: "bytes=-0"}, 416, "", "bytes */10"},
-		{Ask{Method: "GET", Range: "bytes=4-2"}, 200, "0123456789", ""},
-		{Ask{Method: "GET", Range: "bytes=1-2,4-5"}, 200, "0123456789", ""},
-		{Ask{Method: "GET", Range: "lines=1-2"}, 200, "0123456789", ""},
-		{Ask{Method: "GET", Range: "bytes=a-b"}, 200, "0123456789", ""},
-		{Ask{Method: "GET", Range: "bytes"}, 200, "0123456789", ""},
-		{Ask{Method: "HEAD", Range: "bytes=2-4"}, 200, "0123456789", ""},
-		{Ask{Method: "GET", Range: "bytes=2-4", IfRange: `"v1"`}, 206, "234", "bytes 2-4/10"},
-		{Ask{Method: "GET", Range: "bytes=2-4", IfRange: `"v0"`}, 200, "0123456789", ""},
-		{Ask{Method: "GET", IfNoneMatch: `"v0", W/"v1"`}, 304, "", ""},
-		{Ask{Method: "GET", IfNoneMatch: "*", Range: "bytes=2-4"}, 304, "", ""},
-		{Ask{Method: "GET", IfNoneMatch: `"v0"`, Range: "bytes=2-4"}, 206, "234", "bytes 2-4/10"},
+		{RequestConditions{Method: "GET"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", Range: "bytes=2-4"}, 206, "234", "bytes 2-4/10"},
+		{RequestConditions{Method: "GET", Range: "bytes=7-"}, 206, "789", "bytes 7-9/10"},
+		{RequestConditions{Method: "GET", Range: "Bytes=7-99"}, 206, "789", "bytes 7-9/10"},
+		{RequestConditions{Method: "GET", Range: "bytes=-3"}, 206, "789", "bytes 7-9/10"},
+		{RequestConditions{Method: "GET", Range: "bytes=-30"}, 206, "0123456789", "bytes 0-9/10"},
+		{RequestConditions{Method: "GET", Range: "bytes=10-"}, 416, "", "bytes */10"},
+		{RequestConditions{Method: "GET", Range: "bytes=99999999999999999999-"}, 416, "", "bytes */10"},
+		{RequestConditions{Method: "GET", Range: "bytes=-0"}, 416, "", "bytes */10"},
+		{RequestConditions{Method: "GET", Range: "bytes=4-2"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", Range: "bytes=1-2,4-5"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", Range: "lines=1-2"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", Range: "bytes=a-b"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", Range: "bytes"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "HEAD", Range: "bytes=2-4"}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", Range: "bytes=2-4", IfRange: `"v1"`}, 206, "234", "bytes 2-4/10"},
+		{RequestConditions{Method: "GET", Range: "bytes=2-4", IfRange: `"v0"`}, 200, "0123456789", ""},
+		{RequestConditions{Method: "GET", IfNoneMatch: `"v0", W/"v1"`}, 304, "", ""},
+		{RequestConditions{Method: "GET", IfNoneMatch: "*", Range: "bytes=2-4"}, 304, "", ""},
+		{RequestConditions{Method: "GET", IfNoneMatch: `"v0"`, Range: "bytes=2-4"}, 206, "234", "bytes 2-4/10"},
 	} {
-		a := c.Answer(x.ask)
+		a := c.Respond(x.ask)
 		if a.Status != x.status || string(a.Body) != x.body || a.ContentRange != x.span {
 			t.Errorf("%+v: %d %q %q", x.ask, a.Status, a.Body, a.ContentRange)
 		}
@@ -143,9 +143,9 @@
 
 // The shelf keeps to its bytes, and gives up what is of little use a byte.
 func TestShelfGivesUpTheLeastUseful(t *testing.T) {
-	s := NewShelf(300_000)
+	s := NewStore(300_000)
 	put := func(name string, size int) {
-		s.Put(&Copy{Host: "h", Target: name, Body: make([]byte, size)})
+		s.Put(&Object{Host: "h", Target: name, Body: make([]byte, size)})
 	}
 	put("/small", 2_000)
 	put("/used", 60_000)
@@ -168,8 +168,8 @@
 	if c, _ := s.Peek(Key("h", "/huge")); c != nil {
 		t.Fatal("one object took the shelf")
 	}
-	s.Drop(Key("h", "/used"))
-	s.Drop(Key("h", "/used"))
+	s.Remove(Key("h", "/used"))
+	s.Remove(Key("h", "/used"))
 	if c, _ := s.Peek(Key("h", "/used")); c != nil || s.Used() < 0 || s.Len() != len(s.order) {
 		t.Fatal("a dropped copy is there")
 	}
--- a/internal/cache/notices.go
+++ b/internal/cache/notices.go
@@ -9,23 +9,23 @@
 // Purge is one notice, as it was agreed on: an object by host and path, or a tag.
 type Purge = consensus.Purge
 
-// Notices is what a node knows of the purges: the number of the last one, and
+// PurgeLog is what a node knows of the purges: the number of the last one, and
 // for each name the last that named it. Purges up to Floor are known to nobody
 // any more; what was fetched before them is not to be trusted.
-type Notices struct {
+type PurgeLog struct {
 	Seq, Floor int64
 	paths      map[string]int64
 	tags       map[string]int64
 }
 
-// NewNotices starts a node that holds no copies yet after purge seq.
-func NewNotices(seq int64) *Notices {
-	return &Notices{Seq: seq, Floor: seq, paths: map[string]int64{}, tags: map[string]int64{}}
+// NewPurgeLog starts a node that holds no copies yet after purge seq.
+func NewPurgeLog(seq int64) *PurgeLog {
+	return &PurgeLog{Seq: seq, Floor: seq, paths: map[string]int64{}, tags: map[string]int64{}}
 }
 
-// Take adds the purges up to seq; floor is the last that the teller no longer
+// Apply adds the purges up to seq; floor is the last that the teller no longer
 // holds. Where purges were missed, only the floor tells of them.
-func (n *Notices) Take(seq, floor int64, list []Purge) {
+func (n *PurgeLog) Apply(seq, floor int64, list []Purge) {
 	if seq <= n.Seq {
 		return
 	}
@@ -45,9 +45,9 @@
 	n.Seq = seq
 }
 
-// Forget drops the notices up to N, with everything fetched before: where the
+// Compact drops the notices up to N, with everything fetched before: where the
 // index grows beyond bounds, copies pay for it.
-func (n *Notices) Forget(most int) {
+func (n *PurgeLog) Compact(most int) {
 	if len(n.paths)+len(n.tags) <= most {
 		return
 	}
@@ -56,24 +56,24 @@
 	clear(n.tags)
 }
 
-// Kills tells whether a later purge, or one that is no longer known, ended the copy.
-func (n *Notices) Kills(c *Copy) bool {
-	if c.Known < n.Floor {
+// Invalidates tells whether a later purge, or one that is no longer known, ended the copy.
+func (n *PurgeLog) Invalidates(c *Object) bool {
+	if c.KnownPurge < n.Floor {
 		return true
 	}
-	if c.Known >= n.Seq {
+	if c.KnownPurge >= n.Seq {
 		return false
 	}
 	for _, t := range c.Tags {
-		if n.tags[t] > c.Known {
+		if n.tags[t] > c.KnownPurge {
 			return true
 		}
 	}
-	return n.Named(c.Host, c.Target) > c.Known
+	return n.LastPurgeOf(c.Host, c.Target) > c.KnownPurge
 }
 
-// Named is the last purge that named the object by its path.
-func (n *Notices) Named(host, target string) int64 {
+// LastPurgeOf is the last purge that named the object by its path.
+func (n *PurgeLog) LastPurgeOf(host, target string) int64 {
 	last := n.paths[Key(host, target)]
 	if path, _, query := strings.Cut(target, "?"); query {
 		last = max(last, n.paths[Key(host, path)])
--- a/internal/cache/shelf.go
+++ b/internal/cache/shelf.go
@@ -6,10 +6,10 @@
 // object is worth more a byte than a large one, but not without bounds.
 const handling = 16 << 10
 
-// Shelf holds copies up to a number of bytes and gives up the least useful
+// Store holds copies up to a number of bytes and gives up the least useful
 // first: the fewest uses a byte, where uses of long ago count less (greedy
 // dual-size with frequency).
-type Shelf struct {
+type Store struct {
 	limit, used int
 	clock       float64
 	places      map[string]*place
@@ -17,7 +17,7 @@
 }
 
 type place struct {
-	copy *Copy
+	copy *Object
 	uses float64
 	rank float64
 	at   int
@@ -37,16 +37,16 @@
 	return last
 }
 
-// NewShelf makes a shelf for limit bytes.
-func NewShelf(limit int) *Shelf { return &Shelf{limit: limit, places: map[string]*place{}} }
+// NewStore makes a shelf for limit bytes.
+func NewStore(limit int) *Store { return &Store{limit: limit, places: map[string]*place{}} }
 
-func (s *Shelf) rank(p *place) float64 {
+func (s *Store) rank(p *place) float64 {
 	size := float64(p.copy.Size())
 	return s.clock + p.uses*(handling+size)/size
 }
 
 // Get gives the copy of an object, whatever its age, and counts the use.
-func (s *Shelf) Get(key string) *Copy {
+func (s *Store) Get(key string) *Object {
 	p := s.places[key]
 	if p == nil {
 		return nil
@@ -58,7 +58,7 @@
 }
 
 // Peek gives the copy without counting a use.
-func (s *Shelf) Peek(key string) (c *Copy, uses float64) {
+func (s *Store) Peek(key string) (c *Object, uses float64) {
 	if p := s.places[key]; p != nil {
 		return p.copy, p.uses
 	}
@@ -67,11 +67,11 @@
 
 // Put keeps a copy in the place of an older one of the same object; what was
 // confirmed later stays.
-func (s *Shelf) Put(c *Copy) {
+func (s *Store) Put(c *Object) {
 	key, size := c.Key(), c.Size()
 	p := s.places[key]
 	if p != nil {
-		if p.copy.Known > c.Known || p.copy.Known == c.Known && p.copy.Born > c.Born {
+		if p.copy.KnownPurge > c.KnownPurge || p.copy.KnownPurge == c.KnownPurge && p.copy.FetchedAt > c.FetchedAt {
 			return
 		}
 		s.used += size - p.copy.Size()
@@ -94,21 +94,21 @@
 	}
 }
 
-// Drop gives up the copy of an object.
-func (s *Shelf) Drop(key string) {
+// Remove gives up the copy of an object.
+func (s *Store) Remove(key string) {
 	if p := s.places[key]; p != nil {
 		s.remove(p)
 	}
 }
 
-func (s *Shelf) remove(p *place) {
+func (s *Store) remove(p *place) {
 	heap.Remove(&s.order, p.at)
 	delete(s.places, p.copy.Key())
 	s.used -= p.copy.Size()
 }
 
 // Len and Used tell how full the shelf is.
-func (s *Shelf) Len() int { return len(s.places) }
+func (s *Store) Len() int { return len(s.places) }
 
 // Used is how many bytes it holds.
-func (s *Shelf) Used() int { return s.used }
+func (s *Store) Used() int { return s.used }
--- a/internal/cache/stove.go
+++ b/internal/cache/stove.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Flight is one fetch that is wanted or under way.
-type Flight struct {
+// Fetch is one fetch that is wanted or under way.
+type Fetch struct {
 	Host, Target string
 	Service      string
-	// Known is the number of the last purge known when the fetch began.
-	Known   int64
-	Began   time.Duration
-	Running bool
-	// Tries counts the searchers that were asked.
-	Tries int
+	// KnownPurge is the number of the last purge known when the fetch began.
+	KnownPurge int64
+	StartedAt  time.Duration
+	Running    bool
+	// Attempts counts the searchers that were asked.
+	Attempts int
 	// wish is how much the fetch is wanted, since when.
 	wish float64
 	// asked is when it was last asked for, soon how long after that whoever
@@ -21,15 +21,15 @@
 	last time.Duration
 	// Done is closed at its end; Copy, or else Status and Why, tell how.
 	Done   chan struct{}
-	Copy   *Copy
+	Object *Object
 	Status int
-	Why    string
-	// Passed is an answer that can't be kept.
-	Passed *Passed
+	Reason string
+	// PassThrough is an answer that can't be kept.
+	PassThrough *PassThrough
 }
 
-// Passed is an origin's answer that is handed on and not kept.
-type Passed struct {
+// PassThrough is an origin's answer that is handed on and not kept.
+type PassThrough struct {
 	Status int
 	Fields []Field
 	Body   []byte
@@ -37,26 +37,28 @@
 }
 
 // Key names the flight's object.
-func (f *Flight) Key() string { return Key(f.Host, f.Target) }
+func (f *Fetch) Key() string { return Key(f.Host, f.Target) }
 
-// Stove says what is fetched next: what many wait for, and what can still be
+// FetchQueue says what is fetched next: what many wait for, and what can still be
 // served in time, come first. Several that want one object share one fetch.
-type Stove struct {
-	flights map[string]*Flight
+type FetchQueue struct {
+	flights map[string]*Fetch
 	queued  map[string]int
 }
 
-// NewStove makes a stove with nothing on it.
-func NewStove() *Stove { return &Stove{flights: map[string]*Flight{}, queued: map[string]int{}} }
+// NewFetchQueue makes a stove with nothing on it.
+func NewFetchQueue() *FetchQueue {
+	return &FetchQueue{flights: map[string]*Fetch{}, queued: map[string]int{}}
+}
 
-// Want joins the fetch of an object, or begins to wish for one. weight is what
+// Enqueue joins the fetch of an object, or begins to wish for one. weight is what
 // the one who asks adds to the wish for it, until is how long he waits, soon how long the fetch may be put off for him
 // to be served in time.
-func (s *Stove) Want(host, target, service string, weight float64, now, until, soon time.Duration) *Flight {
+func (s *FetchQueue) Enqueue(host, target, service string, weight float64, now, until, soon time.Duration) *Fetch {
 	key := Key(host, target)
 	f := s.flights[key]
 	if f == nil {
-		f = &Flight{Host: host, Target: target, Service: service, Done: make(chan struct{})}
+		f = &Fetch{Host: host, Target: target, Service: service, Done: make(chan struct{})}
 		s.flights[key] = f
 		s.queued[service]++
 	}
@@ -68,13 +70,13 @@
 }
 
 // Find gives the fetch of an object that is wanted or under way.
-func (s *Stove) Find(key string) *Flight { return s.flights[key] }
+func (s *FetchQueue) Find(key string) *Fetch { return s.flights[key] }
 
 // Queued is how many fetches from a service wait for their turn.
-func (s *Stove) Queued(service string) int { return s.queued[service] }
+func (s *FetchQueue) Queued(service string) int { return s.queued[service] }
 
 // Services lists the services from which something is to be fetched.
-func (s *Stove) Services() []string {
+func (s *FetchQueue) Services() []string {
 	var out []string
 	for name, n := range s.queued {
 		if n > 0 {
@@ -86,15 +88,15 @@
 
 // Next takes the fetch that is wanted most, if any still is; the others that
 // nobody waits for any more are ended by the way.
-func (s *Stove) Next(service string, known int64, now time.Duration) *Flight {
-	var best *Flight
+func (s *FetchQueue) Next(service string, known int64, now time.Duration) *Fetch {
+	var best *Fetch
 	most := 0.0
 	for _, f := range s.flights {
 		if f.Running || f.Service != service {
 			continue
 		}
 		if now > f.last {
-			s.End(f, 504, "nobody waits for it any more")
+			s.Finish(f, 504, "nobody waits for it any more")
 			continue
 		}
 		if w := f.claim(now); best == nil || w > most {
@@ -113,15 +115,15 @@
 
 // claim is how much a fetch is wanted: how many asked for it, and whether the
 // last of them can still be served in time.
-func (f *Flight) claim(now time.Duration) float64 {
+func (f *Fetch) claim(now time.Duration) float64 {
 	if now-f.asked > f.soon {
 		return f.wish * lateClaim
 	}
 	return f.wish
 }
 
-// Before is how many fetches have their turn before f, as it is now.
-func (s *Stove) Before(f *Flight, now time.Duration) int {
+// QueuedBefore is how many fetches have their turn before f, as it is now.
+func (s *FetchQueue) QueuedBefore(f *Fetch, now time.Duration) int {
 	n, mine := 0, f.claim(now)
 	for _, o := range s.flights {
 		if !o.Running && o.Service == f.Service && o != f && o.claim(now) >= mine {
@@ -131,29 +133,29 @@
 	return n
 }
 
-func (s *Stove) begin(f *Flight, known int64, now time.Duration) {
-	f.Running, f.Began, f.Known = true, now, known
+func (s *FetchQueue) begin(f *Fetch, known int64, now time.Duration) {
+	f.Running, f.StartedAt, f.KnownPurge = true, now, known
 	s.queued[f.Service]--
-	f.Tries++
+	f.Attempts++
 }
 
-// Again puts a fetch back that brought nothing usable; it keeps its turn.
-func (s *Stove) Again(f *Flight) {
+// Requeue puts a fetch back that brought nothing usable; it keeps its turn.
+func (s *FetchQueue) Requeue(f *Fetch) {
 	f.Running = false
 	s.queued[f.Service]++
 }
 
-// Wait tells whether somebody still waits for the fetch.
-func (f *Flight) Wait(now time.Duration) bool { return now <= f.last }
+// IsAwaited tells whether somebody still waits for the fetch.
+func (f *Fetch) IsAwaited(now time.Duration) bool { return now <= f.last }
 
-// End closes a fetch.
-func (s *Stove) End(f *Flight, status int, why string) {
+// Finish closes a fetch.
+func (s *FetchQueue) Finish(f *Fetch, status int, why string) {
 	if s.flights[f.Key()] == f {
 		delete(s.flights, f.Key())
 	}
 	if !f.Running {
 		s.queued[f.Service]--
 	}
-	f.Status, f.Why = status, why
+	f.Status, f.Reason = status, why
 	close(f.Done)
 }
--- a/internal/cachenode/fetcher.go
+++ b/internal/cachenode/fetcher.go
@@ -62,11 +62,11 @@
 	front Front
 	// endpoints carries the attempts out, purges knows which objects are invalid.
 	endpoints *upstream.Pool
-	purges    *frontend.Pantry
+	purges    *frontend.CacheHandler
 
 	mu            sync.Mutex
-	objects       *cache.Shelf
-	queue         *cache.Stove
+	objects       *cache.Store
+	queue         *cache.FetchQueue
 	limits        map[string]*ratelimit.Ceiling
 	wakeup        chan struct{}
 	fetches       int64
@@ -76,11 +76,11 @@
 
 // NewFetcher makes the fetcher of a front or cache node; its objects may take
 // maxBytes. It starts with Run.
-func NewFetcher(h *host.Host, front Front, endpoints *upstream.Pool, purges *frontend.Pantry, maxBytes int) *Fetcher {
+func NewFetcher(h *host.Host, front Front, endpoints *upstream.Pool, purges *frontend.CacheHandler, maxBytes int) *Fetcher {
 	return &Fetcher{
 		host: h, front: front, endpoints: endpoints, purges: purges, name: host.RandomID(),
-		objects: cache.NewShelf(maxBytes),
-		queue:   cache.NewStove(),
+		objects: cache.NewStore(maxBytes),
+		queue:   cache.NewFetchQueue(),
 		limits:  map[string]*ratelimit.Ceiling{},
 		wakeup:  make(chan struct{}, 1),
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// Held tells how many copies a larder holds, and their bytes.
-func (k *Fetcher) Held() (copies, bytes int) {
+// Usage tells how many copies a larder holds, and their bytes.
+func (k *Fetcher) Usage() (copies, bytes int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.objects.Len(), k.objects.Used()
@@ -171,11 +171,11 @@
 				return max(wait, time.Millisecond)
 			}
 		}
-		f := k.queue.Next(service, k.purges.Known(), now)
+		f := k.queue.Next(service, k.purges.KnownPurge(), now)
 		if f == nil {
 			break
 		}
-		var old *cache.Copy
+		var old *cache.Object
 		if c, _ := k.objects.Peek(f.Key()); c != nil && c.Service == service {
 			old = c
 		}
@@ -185,12 +185,12 @@
 }
 
 // fetch asks one searcher for the whole object, or whether the copy held still is the newest.
-func (k *Fetcher) fetch(f *cache.Flight, old *cache.Copy) {
+func (k *Fetcher) fetch(f *cache.Fetch, old *cache.Object) {
 	k.mu.Lock()
 	k.requestNumber++
 	k.fetches++
 	id := fmt.Sprintf("%s-%d", k.name, k.requestNumber)
-	until := f.Began + k.host.Heartbeats(8)
+	until := f.StartedAt + k.host.Heartbeats(8)
 	k.mu.Unlock()
 	etag := ""
 	if old != nil {
@@ -199,7 +199,7 @@
 	aim := k.host.Heartbeats(0.5)
 	if r := k.front.Route(f.Host, f.Target); r != nil {
 		aim = r.Target
-		until = f.Began + r.Timeout
+		until = f.StartedAt + r.Timeout
 	}
 	peer, start := k.front.PickEndpoint(f.Service, aim)
 	if peer == nil {
@@ -213,12 +213,12 @@
 	defer o.Release()
 	switch {
 	case o.Outcome == upstream.OutcomeAnswered && o.Status == 304 && old != nil:
-		k.onFetched(f, old.Confirmed(f.Began, f.Known), nil)
+		k.onFetched(f, old.Revalidated(f.StartedAt, f.KnownPurge), nil)
 	case o.Succeeded() && o.Status == 200 && len(o.Response.Header.Peek("ETag")) > 0:
 		k.onFetched(f, k.objectOf(f, &o), nil)
 	case o.Outcome == upstream.OutcomeAnswered && (o.Succeeded() || o.Status >= 300) && o.Status < 500 && o.Status != 304 && o.Status != 429:
 		c := k.objectOf(f, &o)
-		k.onFetched(f, nil, &cache.Passed{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
+		k.onFetched(f, nil, &cache.PassThrough{Status: o.Status, Fields: c.Fields, Body: c.Body, Stamp: o.Stamp})
 	case o.Outcome == upstream.OutcomeUnprocessed:
 		k.onFailed(f, 503, "the searcher is full")
 	default:
@@ -227,8 +227,8 @@
 }
 
 // objectOf takes the searcher's answer as a copy.
-func (k *Fetcher) objectOf(f *cache.Flight, o *upstream.Attempt) *cache.Copy {
-	c := &cache.Copy{Host: f.Host, Target: f.Target, Service: f.Service, Stamp: o.Stamp, Born: f.Began, Known: f.Known}
+func (k *Fetcher) objectOf(f *cache.Fetch, o *upstream.Attempt) *cache.Object {
+	c := &cache.Object{Host: f.Host, Target: f.Target, Service: f.Service, Stamp: o.Stamp, FetchedAt: f.StartedAt, KnownPurge: f.KnownPurge}
 	c.Body = append([]byte(nil), o.Response.Body()...)
 	o.Response.Header.VisitAll(func(key, val []byte) {
 		name, v := string(key), string(val)
@@ -249,43 +249,43 @@
 }
 
 // onFetched ends a fetch that brought something.
-func (k *Fetcher) onFetched(f *cache.Flight, c *cache.Copy, p *cache.Passed) {
+func (k *Fetcher) onFetched(f *cache.Fetch, c *cache.Object, p *cache.PassThrough) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.host.Now()
 	if c != nil {
-		if k.purges.Killed(c) && f.Tries < 4 && f.Wait(now) {
+		if k.purges.Invalidated(c) && f.Attempts < 4 && f.IsAwaited(now) {
 			// A purge came while it was fetched: what is here may be what it ended.
-			k.queue.Again(f)
+			k.queue.Requeue(f)
 			k.wake()
 			return
 		}
 		if r := k.front.Route(f.Host, f.Target); r != nil && r.Cached && r.Lifetime > 0 {
 			k.objects.Put(c)
 		}
-		f.Copy = c
+		f.Object = c
 	}
-	f.Passed = p
-	k.queue.End(f, 200, "")
+	f.PassThrough = p
+	k.queue.Finish(f, 200, "")
 }
 
 // onFailed lets a fetch try once more, or ends it.
-func (k *Fetcher) onFailed(f *cache.Flight, status int, why string) {
+func (k *Fetcher) onFailed(f *cache.Fetch, status int, why string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if f.Tries < 3 && f.Wait(k.host.Now()) {
-		k.queue.Again(f)
+	if f.Attempts < 3 && f.IsAwaited(k.host.Now()) {
+		k.queue.Requeue(f)
 		k.wake()
 		return
 	}
-	k.queue.End(f, status, why)
+	k.queue.Finish(f, status, why)
 }
 
 // Get gives a copy that may be served, fetching it if need be; it waits at
 // most for wait, and then tells that it is under way.
 func (k *Fetcher) Get(a nodeapi.CacheFetchRequest, lifetime time.Duration, sends func(string) bool) (nodeapi.CacheFetchResponse, []byte) {
 	until := time.Now().Add(time.Duration(min(a.PollTimeoutMs, a.TimeLeftMs)) * time.Millisecond)
-	for k.purges.Known() < a.PurgeSeq && time.Now().Before(until) {
+	for k.purges.KnownPurge() < a.PurgeSeq && time.Now().Before(until) {
 		// The asker has heard of a purge that this node has not: it is on its way.
 		time.Sleep(k.host.Heartbeats(0.01))
 	}
@@ -294,7 +294,7 @@
 		k.mu.Lock()
 		now := k.host.Now()
 		c := k.objects.Get(key)
-		if known, ok := k.purges.Vouch(c, lifetime, sends); ok {
+		if known, ok := k.purges.CheckFresh(c, lifetime, sends); ok {
 			k.mu.Unlock()
 			k.refreshAhead(c, lifetime, now)
 			return objectResponse(c, known, now)
@@ -304,7 +304,7 @@
 			return nodeapi.CacheFetchResponse{Status: nodeapi.StatusNoQuota}, nil
 		}
 		left, aim := time.Duration(a.TimeLeftMs)*time.Millisecond, time.Duration(a.TargetLatencyMs)*time.Millisecond
-		f := k.queue.Want(a.Host, a.Target, a.Service, a.Weight, now, now+left, aim/3)
+		f := k.queue.Enqueue(a.Host, a.Target, a.Service, a.Weight, now, now+left, aim/3)
 		back := k.expectedWait(f, now)
 		k.mu.Unlock()
 		k.wake()
@@ -320,46 +320,46 @@
 			return nodeapi.CacheFetchResponse{Status: 202}, nil
 		}
 		switch {
-		case f.Copy != nil:
-			if known, ok := k.purges.Vouch(f.Copy, lifetime, sends); ok {
-				return objectResponse(f.Copy, known, k.host.Now())
+		case f.Object != nil:
+			if known, ok := k.purges.CheckFresh(f.Object, lifetime, sends); ok {
+				return objectResponse(f.Object, known, k.host.Now())
 			} else if lifetime <= 0 {
-				return objectResponse(f.Copy, f.Copy.Known, k.host.Now())
+				return objectResponse(f.Object, f.Object.KnownPurge, k.host.Now())
 			}
 			continue
-		case f.Passed != nil:
-			return nodeapi.CacheFetchResponse{Status: f.Passed.Status, Fields: f.Passed.Fields, Stamp: f.Passed.Stamp, PassThrough: true}, f.Passed.Body
+		case f.PassThrough != nil:
+			return nodeapi.CacheFetchResponse{Status: f.PassThrough.Status, Fields: f.PassThrough.Fields, Stamp: f.PassThrough.Stamp, PassThrough: true}, f.PassThrough.Body
 		}
 		return nodeapi.CacheFetchResponse{Status: f.Status, RetryAfterMs: int64(k.host.Heartbeats(0.1) / time.Millisecond)}, nil
 	}
 }
 
 // expectedWait is about how long it takes until a fetch has ended; it runs under the lock.
-func (k *Fetcher) expectedWait(f *cache.Flight, now time.Duration) time.Duration {
+func (k *Fetcher) expectedWait(f *cache.Fetch, now time.Duration) time.Duration {
 	typical, _ := k.endpoints.LatencyPercentiles(f.Service)
 	if f.Running {
-		return max(0, f.Began+typical-now)
+		return max(0, f.StartedAt+typical-now)
 	}
 	if c := k.limits[f.Service]; c != nil && c.Rate() > 0 {
-		typical += time.Duration(float64(k.queue.Before(f, now)) / c.Rate() * float64(time.Second))
+		typical += time.Duration(float64(k.queue.QueuedBefore(f, now)) / c.Rate() * float64(time.Second))
 	}
 	return typical
 }
 
 // refreshAhead confirms a copy in use before it is too old, where nothing else waits.
-func (k *Fetcher) refreshAhead(c *cache.Copy, lifetime, now time.Duration) {
+func (k *Fetcher) refreshAhead(c *cache.Object, lifetime, now time.Duration) {
 	if float64(c.Age(now)) < refreshAt*float64(lifetime) {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if _, uses := k.objects.Peek(c.Key()); uses > 2 && k.queue.Find(c.Key()) == nil && k.queue.Queued(c.Service) == 0 {
-		k.queue.Want(c.Host, c.Target, c.Service, 0.01, now, c.Born+lifetime, lifetime)
+		k.queue.Enqueue(c.Host, c.Target, c.Service, 0.01, now, c.FetchedAt+lifetime, lifetime)
 		k.wake()
 	}
 }
 
-func objectResponse(c *cache.Copy, known int64, now time.Duration) (nodeapi.CacheFetchResponse, []byte) {
+func objectResponse(c *cache.Object, known int64, now time.Duration) (nodeapi.CacheFetchResponse, []byte) {
 	return nodeapi.CacheFetchResponse{Status: 200, Fields: c.Fields, ETag: c.ETag, Stamp: c.Stamp, Tags: c.Tags, PurgeSeq: known, AgeMs: c.Age(now).Milliseconds() + 1}, c.Body
 }
 
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -157,7 +157,7 @@
 	w.Kill("11")
 	again := w.StartNode(11, false, 1, 2, 3)
 	w.Eventually("it serves", func() bool { return again.Front().Ready() && again.Front().Listening() })
-	l := again.Front().Snapshot().Lanes["plain"]
+	l := again.Front().Snapshot().TrafficSplits["plain"]
 	if l == nil || l.From != "v1" || l.Target != "v2" || l.Phase != "canary" {
 		t.Fatalf("ready without the order: %+v", l)
 	}
--- a/internal/front/cache.go
+++ b/internal/front/cache.go
@@ -70,20 +70,20 @@
 // Service is a service of the configuration in force, nil where there is none;
 // known is false while there is no configuration.
 func (t *Server) Service(name string) (service *config.Service, known bool) {
-	snapshot := t.frontend.Current()
+	snapshot := t.frontend.Snapshot()
 	if snapshot == nil {
 		return nil, false
 	}
-	return snapshot.Map.Services[name], true
+	return snapshot.RouteTable.Services[name], true
 }
 
 // Route finds the route of an object, if there is any yet.
 func (t *Server) Route(host, target string) *routing.Route {
-	snap := t.frontend.Current()
+	snap := t.frontend.Snapshot()
 	if snap == nil {
 		return nil
 	}
-	return snap.Map.Match(host, target)
+	return snap.RouteTable.Match(host, target)
 }
 
 // QuotaShare is this node's part of each service's ceiling; ok is false while it
@@ -112,13 +112,13 @@
 	return FrontFetchShare / float64(max(1, t.frontCount.Load())), true
 }
 
-// Bring asks the larder that owns the object, or the next in line where that
+// Fetch asks the larder that owns the object, or the next in line where that
 // one does not answer. Without any, the front fetches itself, sparingly.
-func (t *Server) Bring(w frontend.Want) frontend.Brought {
-	deadline := time.Now().Add(w.Left)
+func (t *Server) Fetch(w frontend.FetchRequest) frontend.FetchResult {
+	deadline := time.Now().Add(w.TimeLeft)
 	l := t.cacheNodes.Load()
 	if l == nil {
-		return frontend.Brought{Status: 503, Back: t.host.Heartbeats(0.2)}
+		return frontend.FetchResult{Status: 503, RetryAfter: t.host.Heartbeats(0.2)}
 	}
 	if len(l.list) == 0 {
 		return t.fetchSelf(w)
@@ -132,65 +132,65 @@
 	for at := 0; ; {
 		left := time.Until(deadline)
 		if left < time.Millisecond {
-			return frontend.Brought{Status: 504}
+			return frontend.FetchResult{Status: 504}
 		}
 		if at >= 2*len(order) {
-			return frontend.Brought{Status: 503, Back: min(t.host.Heartbeats(0.5), left/4)}
+			return frontend.FetchResult{Status: 503, RetryAfter: min(t.host.Heartbeats(0.5), left/4)}
 		}
-		wait := min(left, max(w.Aim*3/4, t.host.Heartbeats(0.2)))
+		wait := min(left, max(w.TargetLatency*3/4, t.host.Heartbeats(0.2)))
 		to := order[at%len(order)]
 		got, err := t.fetchFrom(to, w, left, wait)
 		t.cacheNodeHealth.Done(to.IP, err == nil, time.Now())
 		switch {
 		case err != nil || got.Status == nodeapi.StatusNoQuota:
 			at++
-		case got.Status == 202 && got.Copy == nil:
+		case got.Status == 202 && got.Object == nil:
 			// It is being fetched there; the wish counts once.
-			w.Weight, w.Again = 0, true
+			w.Weight, w.IsRetry = 0, true
 		default:
 			return got
 		}
 	}
 }
 
-func (t *Server) fetchFrom(to consensus.CacheNode, w frontend.Want, left, wait time.Duration) (frontend.Brought, error) {
-	a := nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, PurgeSeq: t.cacheHandler.Known(), TimeLeftMs: left.Milliseconds(), PollTimeoutMs: wait.Milliseconds(), TargetLatencyMs: w.Aim.Milliseconds(), IsRetry: w.Again}
+func (t *Server) fetchFrom(to consensus.CacheNode, w frontend.FetchRequest, left, wait time.Duration) (frontend.FetchResult, error) {
+	a := nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, PurgeSeq: t.cacheHandler.KnownPurge(), TimeLeftMs: left.Milliseconds(), PollTimeoutMs: wait.Milliseconds(), TargetLatencyMs: w.TargetLatency.Milliseconds(), IsRetry: w.IsRetry}
 	began := t.host.Now()
-	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", nodeapi.PathCacheFetch, nil, codec.MustEncode("larder", a), min(left, wait+max(w.Aim/2, t.host.Heartbeats(0.2))))
+	rep, err := t.host.Client.Do(t.host.Settings().InternalAddress(to.IP), "POST", nodeapi.PathCacheFetch, nil, codec.MustEncode("larder", a), min(left, wait+max(w.TargetLatency/2, t.host.Heartbeats(0.2))))
 	if err != nil {
-		return frontend.Brought{}, err
+		return frontend.FetchResult{}, err
 	}
 	var s nodeapi.CacheFetchResponse
 	if err := json.Unmarshal([]byte(rep.Header(nodeapi.HeaderCacheFetch)), &s); err != nil {
-		return frontend.Brought{}, err
+		return frontend.FetchResult{}, err
 	}
 	return fetchResult(w, s, rep.Body, began), nil
 }
 
 // fetchResult reads a larder's answer; began is when it was asked for, from which
 // the copy's age is counted on.
-func fetchResult(w frontend.Want, s nodeapi.CacheFetchResponse, body []byte, began time.Duration) frontend.Brought {
+func fetchResult(w frontend.FetchRequest, s nodeapi.CacheFetchResponse, body []byte, began time.Duration) frontend.FetchResult {
 	switch {
 	case s.PassThrough:
-		return frontend.Brought{Passed: &cache.Passed{Status: s.Status, Fields: s.Fields, Body: body, Stamp: s.Stamp}}
+		return frontend.FetchResult{PassThrough: &cache.PassThrough{Status: s.Status, Fields: s.Fields, Body: body, Stamp: s.Stamp}}
 	case s.Status == 200:
-		return frontend.Brought{Copy: &cache.Copy{
+		return frontend.FetchResult{Object: &cache.Object{
 			Host: w.Host, Target: w.Target, Service: w.Service, Fields: s.Fields, Body: body, ETag: s.ETag, Stamp: s.Stamp, Tags: s.Tags,
-			Born: began - time.Duration(s.AgeMs)*time.Millisecond, Known: s.PurgeSeq,
+			FetchedAt: began - time.Duration(s.AgeMs)*time.Millisecond, KnownPurge: s.PurgeSeq,
 		}}
 	}
-	return frontend.Brought{Status: s.Status, Back: time.Duration(s.RetryAfterMs) * time.Millisecond}
+	return frontend.FetchResult{Status: s.Status, RetryAfter: time.Duration(s.RetryAfterMs) * time.Millisecond}
 }
 
 // fetchSelf fetches where there is no larder.
-func (t *Server) fetchSelf(w frontend.Want) frontend.Brought {
+func (t *Server) fetchSelf(w frontend.FetchRequest) frontend.FetchResult {
 	r := t.Route(w.Host, w.Target)
 	if r == nil {
-		return frontend.Brought{Status: 503}
+		return frontend.FetchResult{Status: 503}
 	}
 	began := t.host.Now()
-	left := w.Left.Milliseconds()
-	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, TimeLeftMs: left, PollTimeoutMs: left, TargetLatencyMs: w.Aim.Milliseconds(), IsRetry: w.Again}, r.Lifetime, r.Sends)
+	left := w.TimeLeft.Milliseconds()
+	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, TimeLeftMs: left, PollTimeoutMs: left, TargetLatencyMs: w.TargetLatency.Milliseconds(), IsRetry: w.IsRetry}, r.Lifetime, r.Sends)
 	switch s.Status {
 	case 202:
 		s.Status = 504
--- a/internal/front/internal_api.go
+++ b/internal/front/internal_api.go
@@ -31,7 +31,7 @@
 	if !transport.ReadJSON(c, &request) {
 		return
 	}
-	if response, ok := t.frontend.Lend(request); ok {
+	if response, ok := t.frontend.HandleRelay(request); ok {
 		transport.WriteJSON(c, 200, response)
 		return
 	}
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -138,8 +138,8 @@
 // PickEndpoint picks a searcher for a request of this node's own, as its lane allows.
 func (t *Server) PickEndpoint(service string, aim time.Duration) (*upstream.Endpoint, time.Time) {
 	var l *rollout.Lane
-	if s := t.frontend.Current(); s != nil {
-		l = s.Lanes[service]
+	if s := t.frontend.Snapshot(); s != nil {
+		l = s.TrafficSplits[service]
 	}
 	now, heard := t.clock()
 	w := l.Way(now, heard, t.host.MajorityTimeout(), rand.Float64())
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -40,13 +40,13 @@
 
 	endpoints   *upstream.Pool
 	retryBudget *ratelimit.Ledger
-	frontend    *frontend.Head
+	frontend    *frontend.Handler
 	pool        *ants.Pool
 	relays      *relay.Balancer
 	ready       atomic.Bool
 	// cacheNode: the node serves no clients, it keeps copies.
 	cacheNode       bool
-	cacheHandler    *frontend.Pantry
+	cacheHandler    *frontend.CacheHandler
 	fetcher         *cachenode.Fetcher
 	cacheNodes      atomic.Pointer[cacheNodeList]
 	cacheNodeHealth *relay.Balancer
@@ -112,10 +112,10 @@
 		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.RetryBudgetUse, Young: 0.3,
 	}, n.Now())
 	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.Now, HedgeAt: opt.HedgeAfter}
-	t.frontend = frontend.New(frontend.Options{Soft: opt.PartialAnswerAfter, Hard: 0.97, Late: opt.LateAnswerValue, RetryIn: 0.25, WriteWithin: n.TCPUserTimeout(), Hold: n.Heartbeats(0.5), Crowd: opt.OverloadFactor, Clock: t.clock, Deaf: n.MajorityTimeout()}, guide)
+	t.frontend = frontend.New(frontend.Options{PartialResponseAfter: opt.PartialAnswerAfter, GiveUpAfter: 0.97, LateResponseValue: opt.LateAnswerValue, RetryAfterRatio: 0.25, WriteTimeout: n.TCPUserTimeout(), StartupWait: n.Heartbeats(0.5), OverloadFactor: opt.OverloadFactor, Clock: t.clock, MajorityTimeout: n.MajorityTimeout()}, guide)
 	if opt.Relay {
 		t.relays = relay.NewBalancer(n.Heartbeats(1))
-		t.frontend.SetAcross(t.relays, func(ip string, ask relay.Request, say *relay.Response, within time.Duration) error {
+		t.frontend.SetRelays(t.relays, func(ip string, ask relay.Request, say *relay.Response, within time.Duration) error {
 			err := n.Client.CallJSON(n.Settings().InternalAddress(ip), nodeapi.PathRelay, ask, say, within)
 			if err != nil {
 				// Others may do better.
@@ -130,8 +130,8 @@
 	if memory <= 0 {
 		memory = 256 << 20
 	}
-	t.cacheHandler = frontend.NewPantry(int(memory*opt.FrontCacheRatio), n.Now, t)
-	t.frontend.SetPantry(t.cacheHandler)
+	t.cacheHandler = frontend.NewCacheHandler(int(memory*opt.FrontCacheRatio), n.Now, t)
+	t.frontend.SetCacheHandler(t.cacheHandler)
 	if t.cacheNode {
 		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.CacheNodeRatio))
 	} else {
@@ -356,7 +356,7 @@
 		t.setCacheNodes(say.CacheNodes)
 	}
 	if h := t.progress.Load(); say.PurgeSeq > h.purge && (h.purge >= 0 || len(say.ControlNodes) > 0) {
-		t.cacheHandler.Take(say.PurgeSeq, say.CompactedPurgeSeq, say.Purges)
+		t.cacheHandler.ApplyPurges(say.PurgeSeq, say.CompactedPurgeSeq, say.Purges)
 		t.updateProgress(func(h *progress) { h.purge = say.PurgeSeq })
 	}
 	if !ask.Locate {
@@ -499,7 +499,7 @@
 			delete(t.routeTables, v)
 		}
 	}
-	s := &frontend.Snapshot{Map: m, Holders: map[string]map[string][]string{}, Lanes: t.rollouts.splits}
+	s := &frontend.Snapshot{RouteTable: m, Holders: map[string]map[string][]string{}, TrafficSplits: t.rollouts.splits}
 	for _, shard := range t.layouts.Current.Shards {
 		s.Holders[shard] = t.layouts.Held(shard)
 	}
@@ -509,7 +509,7 @@
 	if t.table == nil || t.progress.Load().rolloutSlot < 0 {
 		return
 	}
-	t.frontend.Set(s)
+	t.frontend.SetSnapshot(s)
 	if !t.host.Draining.Load() && t.ready.CompareAndSwap(false, true) {
 		events.Log(events.FrontReady, "version", m.Version, "searchers", len(t.table.Endpoints))
 	}
@@ -522,8 +522,8 @@
 	lis.MaxHeaderBytes = t.host.MaxMessageBytes() / 16
 	lis.Tracker = &t.gate
 	lis.Timeouts = func() (time.Duration, time.Duration) {
-		if s := t.frontend.Current(); s != nil {
-			return s.Map.Limits.HeaderTimeout, s.Map.Limits.Idle
+		if s := t.frontend.Snapshot(); s != nil {
+			return s.RouteTable.Limits.HeaderTimeout, s.RouteTable.Limits.Idle
 		}
 		return t.defaultLimits.HeaderTimeout, t.defaultLimits.Idle
 	}
@@ -573,7 +573,7 @@
 // Drain lets the platform send its clients elsewhere, then ends what is under way.
 func (t *Server) Drain(start time.Time, grace time.Duration) {
 	events.Log(events.FrontNotReady, "why", "leaving")
-	t.frontend.Leave()
+	t.frontend.Drain()
 	time.Sleep(time.Until(start.Add(grace / 2)))
 	if ln := t.listener.Load(); ln != nil {
 		(*ln).Close()
@@ -581,10 +581,10 @@
 	// Connections at rest are ended unread; the others end with their answer.
 	t.gate.Drain()
 	ended := false
-	for time.Since(start) < grace*92/100 && (t.gate.Active() > 0 || t.frontend.Busy() > 0) {
+	for time.Since(start) < grace*92/100 && (t.gate.Active() > 0 || t.frontend.InFlight() > 0) {
 		if !ended && time.Since(start) > grace*65/100 {
 			ended = true
-			t.frontend.End()
+			t.frontend.CancelWaiting()
 		}
 		time.Sleep(grace / 200)
 	}
@@ -592,48 +592,48 @@
 
 // Status is the trail's part of the status.
 type Status struct {
-	Ready     bool            `json:"Ready"`
-	Slot      int64           `json:"Slot"`
-	LastBuilt int64           `json:"LastBuilt"`
-	Current   int64           `json:"Current"`
-	Next      int64           `json:"Next,omitempty"`
-	Table     endpoints.Stamp `json:"Table"`
-	Searchers int             `json:"Searchers"`
-	Fronts    int             `json:"Fronts"`
+	Ready      bool            `json:"Ready"`
+	Slot       int64           `json:"Slot"`
+	LastBuilt  int64           `json:"LastBuilt"`
+	Current    int64           `json:"Current"`
+	Next       int64           `json:"Next,omitempty"`
+	TableStamp endpoints.Stamp `json:"Table"`
+	Endpoints  int             `json:"Searchers"`
+	FrontCount int             `json:"Fronts"`
 	// Connections to searchers, and how many of these do not answer.
 	Connections upstream.Stats `json:"Connections"`
-	Busy        int64          `json:"Busy"`
-	// Helped counts the requests in which this front gathered for another.
-	Helped int64               `json:"Helped"`
-	Slots  map[string][]string `json:"Slots"`
-	// Copies and CopyBytes are what is kept, Purge the last purge known;
+	InFlight    int64          `json:"Busy"`
+	// Relayed counts the requests in which this front gathered for another.
+	Relayed      int64               `json:"Helped"`
+	ShardHolders map[string][]string `json:"Slots"`
+	// CachedObjects and CopyBytes are what is kept, Purge the last purge known;
 	// Fetched counts fetches, Part is this node's part of the ceilings.
-	Copies    int     `json:"Copies"`
-	CopyBytes int     `json:"CopyBytes"`
-	Purge     int64   `json:"Purge"`
-	Fetched   int64   `json:"Fetched"`
-	Part      float64 `json:"Part"`
+	CachedObjects int     `json:"Copies"`
+	CachedBytes   int     `json:"CopyBytes"`
+	KnownPurge    int64   `json:"Purge"`
+	Fetches       int64   `json:"Fetched"`
+	QuotaShare    float64 `json:"Part"`
 }
 
 func (t *Server) Status() *Status {
-	st := &Status{Ready: t.ready.Load(), Busy: t.frontend.Busy(), Helped: t.frontend.Lent(), Slots: map[string][]string{}}
+	st := &Status{Ready: t.ready.Load(), InFlight: t.frontend.InFlight(), Relayed: t.frontend.Relayed(), ShardHolders: map[string][]string{}}
 	st.Connections = t.endpoints.Stats()
-	st.Copies, st.CopyBytes = t.cacheHandler.Held()
+	st.CachedObjects, st.CachedBytes = t.cacheHandler.Usage()
 	if t.cacheNode {
-		st.Copies, st.CopyBytes = t.fetcher.Held()
+		st.CachedObjects, st.CachedBytes = t.fetcher.Usage()
 	}
-	st.Fetched, st.Purge = t.fetcher.Fetches(), t.cacheHandler.Known()
-	st.Part, _ = t.QuotaShare()
+	st.Fetches, st.KnownPurge = t.fetcher.Fetches(), t.cacheHandler.KnownPurge()
+	st.QuotaShare, _ = t.QuotaShare()
 	t.loop.Call(func() {
-		st.Slot, st.LastBuilt, st.Current, st.Fronts = t.progress.Load().slot, t.layouts.LastBuilt, t.layouts.Current.Version, int(t.frontCount.Load())
+		st.Slot, st.LastBuilt, st.Current, st.FrontCount = t.progress.Load().slot, t.layouts.LastBuilt, t.layouts.Current.Version, int(t.frontCount.Load())
 		if t.layouts.Next != nil {
 			st.Next = t.layouts.Next.Version
 		}
 		if t.table != nil {
-			st.Table, st.Searchers = t.table.Stamp, len(t.table.Endpoints)
+			st.TableStamp, st.Endpoints = t.table.Stamp, len(t.table.Endpoints)
 		}
 		for _, s := range t.layouts.Current.Shards {
-			st.Slots[s] = t.layouts.Holders(s)
+			st.ShardHolders[s] = t.layouts.Holders(s)
 		}
 	})
 	return st
@@ -647,7 +647,7 @@
 }
 
 // Snapshot is what requests are routed by now, nil while the front is not ready.
-func (t *Server) Snapshot() *frontend.Snapshot { return t.frontend.Current() }
+func (t *Server) Snapshot() *frontend.Snapshot { return t.frontend.Snapshot() }
 
 // Ready tells whether the front has a configuration and a table of endpoints.
 func (t *Server) Ready() bool { return t.ready.Load() }
--- a/internal/frontend/across.go
+++ b/internal/frontend/across.go
@@ -8,20 +8,20 @@
 	"swiftswitch/internal/upstream"
 )
 
-// Caller carries a call to another front.
-type Caller func(ip string, ask relay.Request, say *relay.Response, within time.Duration) error
+// RelayCaller carries a call to another front.
+type RelayCaller func(ip string, ask relay.Request, say *relay.Response, within time.Duration) error
 
-// SetAcross lets gathered requests go by way of fronts in other zones.
-func (h *Head) SetAcross(c *relay.Balancer, call Caller) { h.choice, h.call = c, call }
+// SetRelays lets gathered requests go by way of fronts in other zones.
+func (h *Handler) SetRelays(c *relay.Balancer, call RelayCaller) { h.choice, h.call = c, call }
 
 // crossing is one request's way across.
 type crossing struct {
-	h *Head
+	h *Handler
 	v *visit
 }
 
 // across is nil where the request is none that another front may gather for.
-func (h *Head) across(v *visit) scatter.Across {
+func (h *Handler) across(v *visit) scatter.Across {
 	if h.choice == nil || len(v.route.Gathered) < 2 || !v.req.IsGetWithoutBody() {
 		return nil
 	}
@@ -35,7 +35,7 @@
 		return nil, false
 	}
 	v := c.v
-	version, req, until := v.snap.Map.Version, v.req, v.times.Until
+	version, req, until := v.snap.RouteTable.Version, v.req, v.times.Until
 	return func(legs []int, wait time.Duration) ([]string, []byte) {
 		left := time.Until(until)
 		ask := relay.Request{
@@ -51,20 +51,20 @@
 	}, true
 }
 
-// Lend gathers some shards for another front. It asks one searcher of each
+// HandleRelay gathers some shards for another front. It asks one searcher of each
 // and answers with what is in when the wait is over; false means that this
 // node does not hold the same version.
-func (h *Head) Lend(a relay.Request) (relay.Response, bool) {
+func (h *Handler) HandleRelay(a relay.Request) (relay.Response, bool) {
 	start := time.Now()
 	snap := h.now.Load()
-	if snap == nil || h.leave.Load() || snap.Map.Version != a.Version || a.RemainingMs <= 0 || len(a.Shards) == 0 {
+	if snap == nil || h.leave.Load() || snap.RouteTable.Version != a.Version || a.RemainingMs <= 0 || len(a.Shards) == 0 {
 		return relay.Response{}, false
 	}
 	req, ok := upstream.NewRelayedRequest(a.Head)
 	if !ok {
 		return relay.Response{}, false
 	}
-	route := snap.Map.Match(req.Host, req.Target)
+	route := snap.RouteTable.Match(req.Host, req.Target)
 	if route == nil {
 		return relay.Response{}, false
 	}
@@ -96,5 +96,5 @@
 	return say, true
 }
 
-// Lent counts the requests in which this front helped another.
-func (h *Head) Lent() int64 { return h.lent.Load() }
+// Relayed counts the requests in which this front helped another.
+func (h *Handler) Relayed() int64 { return h.lent.Load() }
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -106,7 +106,7 @@
 	return addr
 }
 
-func frontOf(t *testing.T, addrs ...string) (string, *Head) {
+func frontOf(t *testing.T, addrs ...string) (string, *Handler) {
 	pool, _ := ants.NewPool(64, ants.WithNonblocking(true))
 	zone := func(i int) string { return strings.Repeat("z", i) }
 	rng := upstream.New(upstream.Options{
@@ -126,8 +126,8 @@
 	for _, kind := range []string{"safe", "unsafe", "cached"} {
 		routes = append(routes, &config.Route{Name: kind, HostName: "a.example", PathPrefix: "/" + kind + "/", RouteKind: kind, TimeoutMs: 400, Service: "s", Attempts: 3, CacheLifetimeS: 60})
 	}
-	h := New(Options{Soft: 0.9, Hard: 0.97, WriteWithin: 2 * time.Second, Crowd: 50}, guide)
-	h.Set(&Snapshot{Map: routing.Compile(&config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: routes}, routing.Limits{Header: 1 << 14, Body: 1 << 22})})
+	h := New(Options{PartialResponseAfter: 0.9, GiveUpAfter: 0.97, WriteTimeout: 2 * time.Second, OverloadFactor: 50}, guide)
+	h.SetSnapshot(&Snapshot{RouteTable: routing.Compile(&config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: routes}, routing.Limits{Header: 1 << 14, Body: 1 << 22})})
 	ln, err := transport.Listen("127.0.0.1:0", time.Second, time.Second, nil)
 	if err != nil {
 		t.Fatal("no listener")
@@ -354,14 +354,14 @@
 // larderOf brings objects whose bytes all tell their name, and passes on what is missing.
 type larderOf struct{ sizes map[string]int }
 
-func (l larderOf) Bring(w Want) Brought {
+func (l larderOf) Fetch(w FetchRequest) FetchResult {
 	time.Sleep(5 * time.Millisecond)
 	name := w.Target[len(w.Target)-1:]
 	body := []byte(strings.Repeat(name, l.sizes[name]))
 	if len(body) == 0 {
-		return Brought{Passed: &cache.Passed{Status: 404, Body: []byte(strings.Repeat(name, 9000))}}
+		return FetchResult{PassThrough: &cache.PassThrough{Status: 404, Body: []byte(strings.Repeat(name, 9000))}}
 	}
-	return Brought{Copy: &cache.Copy{Host: w.Host, Target: w.Target, Service: "s", Body: body, ETag: name, Stamp: name}}
+	return FetchResult{Object: &cache.Object{Host: w.Host, Target: w.Target, Service: "s", Body: body, ETag: name, Stamp: name}}
 }
 
 // One copy goes to many clients at once, whole and in part, from memory that
@@ -369,9 +369,9 @@
 func TestSharedCopies(t *testing.T) {
 	addr, h := frontOf(t)
 	sizes := map[string]int{"a": 700, "b": 6000, "c": 90_000}
-	p := NewPantry(110_000, func() time.Duration { return 0 }, larderOf{sizes})
-	p.Take(0, 0, nil)
-	h.SetPantry(p)
+	p := NewCacheHandler(110_000, func() time.Duration { return 0 }, larderOf{sizes})
+	p.ApplyPurges(0, 0, nil)
+	h.SetCacheHandler(p)
 	var all sync.WaitGroup
 	for client := range 8 {
 		all.Add(1)
--- a/internal/frontend/cached.go
+++ b/internal/frontend/cached.go
@@ -10,69 +10,69 @@
 	"swiftswitch/internal/upstream"
 )
 
-// Want is what a front asks a larder for.
-type Want struct {
+// FetchRequest is what a front asks a larder for.
+type FetchRequest struct {
 	Host, Target, Service string
 	// Weight is how much the object is wanted.
 	Weight float64
-	// Left is how long the client waits, Aim when the answer has its full worth.
-	Left, Aim time.Duration
-	// Again: the client was refused before, and waits now.
-	Again bool
+	// TimeLeft is how long the client waits, Aim when the answer has its full worth.
+	TimeLeft, TargetLatency time.Duration
+	// IsRetry: the client was refused before, and waits now.
+	IsRetry bool
 }
 
-// Brought is what came of a Want.
-type Brought struct {
-	Copy   *cache.Copy
-	Passed *cache.Passed
+// FetchResult is what came of a Want.
+type FetchResult struct {
+	Object      *cache.Object
+	PassThrough *cache.PassThrough
 	// Status, where neither is set, is the refusal or failure.
 	Status int
-	// Back is when the client may come again.
-	Back time.Duration
+	// RetryAfter is when the client may come again.
+	RetryAfter time.Duration
 }
 
-// Bringer fetches objects by way of the nodes that keep copies.
-type Bringer interface {
-	Bring(w Want) Brought
+// ObjectFetcher fetches objects by way of the nodes that keep copies.
+type ObjectFetcher interface {
+	Fetch(w FetchRequest) FetchResult
 }
 
-// Pantry is the front's own small shelf.
-type Pantry struct {
+// CacheHandler is the front's own small shelf.
+type CacheHandler struct {
 	mu      sync.Mutex
-	shelf   *cache.Shelf
-	notices *cache.Notices
+	shelf   *cache.Store
+	notices *cache.PurgeLog
 	flights map[string]*call
 	steady  func() time.Duration
-	bringer Bringer
+	bringer ObjectFetcher
 }
 
 type call struct {
 	done chan struct{}
-	got  Brought
+	got  FetchResult
 }
 
-// NewPantry makes a shelf for limit bytes.
-func NewPantry(limit int, steady func() time.Duration, b Bringer) *Pantry {
-	return &Pantry{shelf: cache.NewShelf(limit), flights: map[string]*call{}, steady: steady, bringer: b}
+// NewCacheHandler makes a shelf for limit bytes.
+func NewCacheHandler(limit int, steady func() time.Duration, b ObjectFetcher) *CacheHandler {
+	return &CacheHandler{shelf: cache.NewStore(limit), flights: map[string]*call{}, steady: steady, bringer: b}
 }
 
 // noticesKept bounds a front's index of purges.
 const noticesKept = 4096
 
-// Take notes purges.
-func (p *Pantry) Take(seq, floor int64, list []cache.Purge) {
+// ApplyPurges notes purges.
+func (p *CacheHandler) ApplyPurges(seq, floor int64, list []cache.Purge) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.notices == nil {
-		p.notices = cache.NewNotices(seq)
+		p.notices = cache.NewPurgeLog(seq)
 		return
 	}
-	p.notices.Take(seq, floor, list)
-	p.notices.Forget(noticesKept)
+	p.notices.Apply(seq, floor, list)
+	p.notices.Compact(noticesKept)
 }
 
-// Known is the number of the last purge.
-func (p *Pantry) Known() int64 {
+// KnownPurge is the number of the last purge.
+func (p *CacheHandler) KnownPurge() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.notices == nil {
@@ -81,38 +81,38 @@
 	return p.notices.Seq
 }
 
-// Good tells whether a copy may be served: its age, the purges and the route allow it.
-func (p *Pantry) Good(c *cache.Copy, lifetime time.Duration, sends func(string) bool) bool {
+// Usable tells whether a copy may be served: its age, the purges and the route allow it.
+func (p *CacheHandler) Usable(c *cache.Object, lifetime time.Duration, sends func(string) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.good(c, lifetime, sends)
 }
 
-// Vouch is Good, and gives the number of the last purge under which that is
+// CheckFresh is Good, and gives the number of the last purge under which that is
 // so: handed on, the copy counts as known up to there.
-func (p *Pantry) Vouch(c *cache.Copy, lifetime time.Duration, sends func(string) bool) (known int64, ok bool) {
+func (p *CacheHandler) CheckFresh(c *cache.Object, lifetime time.Duration, sends func(string) bool) (known int64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.good(c, lifetime, sends) {
 		return 0, false
 	}
-	return max(c.Known, p.notices.Seq), true
+	return max(c.KnownPurge, p.notices.Seq), true
 }
 
-// Killed tells whether a purge that is known here ended the copy.
-func (p *Pantry) Killed(c *cache.Copy) bool {
+// Invalidated tells whether a purge that is known here ended the copy.
+func (p *CacheHandler) Invalidated(c *cache.Object) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.notices == nil || p.notices.Kills(c)
+	return p.notices == nil || p.notices.Invalidates(c)
 }
 
-func (p *Pantry) good(c *cache.Copy, lifetime time.Duration, sends func(string) bool) bool {
-	return c.Fresh(lifetime, p.steady()) && p.notices != nil && !p.notices.Kills(c) && sends(c.Service)
+func (p *CacheHandler) good(c *cache.Object, lifetime time.Duration, sends func(string) bool) bool {
+	return c.IsFresh(lifetime, p.steady()) && p.notices != nil && !p.notices.Invalidates(c) && sends(c.Service)
 }
 
 // get gives the copy, or the call that brings it; first tells whether the
 // caller is the one to make it.
-func (p *Pantry) get(key string, lifetime time.Duration, sends func(string) bool) (c *cache.Copy, fl *call, first bool) {
+func (p *CacheHandler) get(key string, lifetime time.Duration, sends func(string) bool) (c *cache.Object, fl *call, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c = p.shelf.Get(key); p.good(c, lifetime, sends) {
@@ -127,29 +127,29 @@
 }
 
 // end closes a call and keeps what it brought.
-func (p *Pantry) end(key string, fl *call, got Brought, lifetime time.Duration) {
+func (p *CacheHandler) end(key string, fl *call, got FetchResult, lifetime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fl.got = got
 	delete(p.flights, key)
-	if got.Copy != nil && lifetime > 0 {
-		p.shelf.Put(got.Copy)
+	if got.Object != nil && lifetime > 0 {
+		p.shelf.Put(got.Object)
 	}
 	close(fl.done)
 }
 
-// Held tells how many copies the shelf holds, and their bytes.
-func (p *Pantry) Held() (copies, bytes int) {
+// Usage tells how many copies the shelf holds, and their bytes.
+func (p *CacheHandler) Usage() (copies, bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.shelf.Len(), p.shelf.Used()
 }
 
-// SetPantry lets cached routes be served from copies.
-func (h *Head) SetPantry(p *Pantry) { h.pantry = p }
+// SetCacheHandler lets cached routes be served from copies.
+func (h *Handler) SetCacheHandler(p *CacheHandler) { h.pantry = p }
 
 // cached serves a request on a cached route from a copy.
-func (h *Head) cached(v *visit) bool {
+func (h *Handler) cached(v *visit) bool {
 	p, r := h.pantry, v.route
 	service := r.Pick(point(v.req.Host + v.req.Target))
 	key := cache.Key(v.req.Host, v.req.Target)
@@ -164,8 +164,8 @@
 			return h.refuse(v, 503, "no answer in time")
 		}
 		if first {
-			w := Want{Host: v.req.Host, Target: v.req.Target, Service: service, Weight: weight(r.Priority), Left: left, Aim: r.Target, Again: again}
-			go func() { p.end(key, fl, p.bringer.Bring(w), r.Lifetime) }()
+			w := FetchRequest{Host: v.req.Host, Target: v.req.Target, Service: service, Weight: weight(r.Priority), TimeLeft: left, TargetLatency: r.Target, IsRetry: again}
+			go func() { p.end(key, fl, p.bringer.Fetch(w), r.Lifetime) }()
 		}
 		t := time.NewTimer(left)
 		select {
@@ -179,21 +179,21 @@
 		}
 		got := fl.got
 		switch {
-		case got.Copy != nil && p.Good(got.Copy, max(r.Lifetime, 0), r.Sends):
-			return h.fromCopy(v, got.Copy)
-		case got.Copy != nil && r.Lifetime <= 0:
+		case got.Object != nil && p.Usable(got.Object, max(r.Lifetime, 0), r.Sends):
+			return h.fromCopy(v, got.Object)
+		case got.Object != nil && r.Lifetime <= 0:
 			// Not to be kept, but fetched for those who asked.
-			return h.fromCopy(v, got.Copy)
-		case got.Copy != nil:
+			return h.fromCopy(v, got.Object)
+		case got.Object != nil:
 			// A purge came in the meantime: once more.
 			continue
-		case got.Passed != nil:
-			return h.passOn(v, got.Passed)
-		case got.Status == 503 && got.Back > 0 && again && !first:
+		case got.PassThrough != nil:
+			return h.passOn(v, got.PassThrough)
+		case got.Status == 503 && got.RetryAfter > 0 && again && !first:
 			// It was the refusal of another that had not waited yet.
 			continue
-		case got.Status == 503 && got.Back > 0:
-			h.comeBack(v, got.Back)
+		case got.Status == 503 && got.RetryAfter > 0:
+			h.comeBack(v, got.RetryAfter)
 			v.c.SetStatusCode(503)
 			v.c.Response.SetBodyString("the object can't be fetched now\n")
 			return false
@@ -220,9 +220,9 @@
 	return float64(f.Sum64()>>11) / (1 << 53)
 }
 
-func (h *Head) fromCopy(v *visit, c *cache.Copy) bool {
+func (h *Handler) fromCopy(v *visit, c *cache.Object) bool {
 	hd := &v.c.Request.Header
-	a := c.Answer(cache.Ask{
+	a := c.Respond(cache.RequestConditions{
 		Method: v.req.Method, Range: string(hd.Peek("Range")), IfRange: string(hd.Peek("If-Range")), IfNoneMatch: string(hd.Peek("If-None-Match")),
 	})
 	out := &v.c.Response
@@ -240,7 +240,7 @@
 	return false
 }
 
-func (h *Head) passOn(v *visit, p *cache.Passed) bool {
+func (h *Handler) passOn(v *visit, p *cache.PassThrough) bool {
 	v.c.SetStatusCode(p.Status)
 	h.fields(v, p.Fields)
 	if p.Stamp != "" {
@@ -250,7 +250,7 @@
 	return false
 }
 
-func (h *Head) fields(v *visit, l []cache.Field) {
+func (h *Handler) fields(v *visit, l []cache.Field) {
 	out := &v.c.Response.Header
 	for _, f := range l {
 		switch f.Name {
--- a/internal/frontend/pantry_test.go
+++ b/internal/frontend/pantry_test.go
@@ -11,13 +11,13 @@
 // purge that is heard of while a copy is on its way ends that one.
 func TestPantry(t *testing.T) {
 	now := time.Duration(0)
-	p := NewPantry(100_000, func() time.Duration { return now }, nil)
+	p := NewCacheHandler(100_000, func() time.Duration { return now }, nil)
 	sends := func(s string) bool { return s == "media" }
-	c := &cache.Copy{Host: "h", Target: "/a", Service: "media", ETag: "v1", Known: 3}
-	if p.Good(c, time.Minute, sends) {
+	c := &cache.Object{Host: "h", Target: "/a", Service: "media", ETag: "v1", KnownPurge: 3}
+	if p.Usable(c, time.Minute, sends) {
 		t.Fatal("a node that knows no purges serves a copy")
 	}
-	p.Take(3, 0, nil)
+	p.ApplyPurges(3, 0, nil)
 	_, fl, first := p.get(c.Key(), time.Minute, sends)
 	if !first {
 		t.Fatal("nobody fetches")
@@ -25,26 +25,26 @@
 	if _, other, again := p.get(c.Key(), time.Minute, sends); again || other != fl {
 		t.Fatal("two fetch one object")
 	}
-	p.end(c.Key(), fl, Brought{Copy: c}, time.Minute)
+	p.end(c.Key(), fl, FetchResult{Object: c}, time.Minute)
 	if got, _, _ := p.get(c.Key(), time.Minute, sends); got != c {
 		t.Fatal("the copy is not served")
 	}
-	if p.Good(c, time.Minute, func(s string) bool { return s == "other" }) {
+	if p.Usable(c, time.Minute, func(s string) bool { return s == "other" }) {
 		t.Fatal("a copy outlives its route")
 	}
-	if known, ok := p.Vouch(c, time.Minute, sends); !ok || known != 3 {
+	if known, ok := p.CheckFresh(c, time.Minute, sends); !ok || known != 3 {
 		t.Fatal("it is not vouched for")
 	}
-	p.Take(4, 0, []cache.Purge{{Seq: 4, Host: "h", Path: "/b"}})
-	if known, ok := p.Vouch(c, time.Minute, sends); !ok || known != 4 {
+	p.ApplyPurges(4, 0, []cache.Purge{{Seq: 4, Host: "h", Path: "/b"}})
+	if known, ok := p.CheckFresh(c, time.Minute, sends); !ok || known != 4 {
 		t.Fatal("a purge of something else counts")
 	}
-	p.Take(5, 0, []cache.Purge{{Seq: 5, Host: "h", Path: "/a"}})
-	if p.Good(c, time.Minute, sends) || !p.Killed(c) {
+	p.ApplyPurges(5, 0, []cache.Purge{{Seq: 5, Host: "h", Path: "/a"}})
+	if p.Usable(c, time.Minute, sends) || !p.Invalidated(c) {
 		t.Fatal("a purged copy is served")
 	}
 	now = 2 * time.Minute
-	if p.Good(&cache.Copy{Host: "h", Target: "/c", Service: "media", Known: 5}, time.Minute, sends) {
+	if p.Usable(&cache.Object{Host: "h", Target: "/c", Service: "media", KnownPurge: 5}, time.Minute, sends) {
 		t.Fatal("a copy older than its lifetime is served")
 	}
 }
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -21,12 +21,12 @@
 // Snapshot is what a request is pinned to: one configuration and the slots
 // of its cut. It is never changed.
 type Snapshot struct {
-	Map *routing.Map
+	RouteTable *routing.Map
 	// Holders names, for each shard of the cut and version of its searchers,
 	// those with a slot.
 	Holders map[string]map[string][]string
-	// Lanes says to which versions of a service's searchers requests may go.
-	Lanes map[string]*rollout.Lane
+	// TrafficSplits says to which versions of a service's searchers requests may go.
+	TrafficSplits map[string]*rollout.Lane
 }
 
 // leg is the part of a gathered request that goes to a shard: to its holders
@@ -57,8 +57,8 @@
 }
 
 // way draws to which version of a service's searchers one request goes.
-func (h *Head) way(s *Snapshot, service string) rollout.Way {
-	l := s.Lanes[service]
+func (h *Handler) way(s *Snapshot, service string) rollout.Way {
+	l := s.TrafficSplits[service]
 	if l == nil {
 		return rollout.Way{}
 	}
@@ -66,11 +66,11 @@
 		return l.Way(0, 0, 0, 0)
 	}
 	now, heard := h.opt.Clock()
-	return l.Way(now, heard, h.opt.Deaf, rand.Float64())
+	return l.Way(now, heard, h.opt.MajorityTimeout, rand.Float64())
 }
 
 // steadyWay is the way of a request that another front counts: no canary.
-func (h *Head) steadyWay(s *Snapshot, service string) rollout.Way {
+func (h *Handler) steadyWay(s *Snapshot, service string) rollout.Way {
 	w := h.way(s, service)
 	w.Once = ""
 	return w
@@ -78,28 +78,28 @@
 
 // Options are ratios.
 type Options struct {
-	// Soft is the part of the target that is used before a partial answer is weighed.
-	Soft float64
-	// Hard is the part of the client's time that is used before giving up.
-	Hard float64
-	// Late is what a late answer is taken to be worth beside one in time.
-	Late float64
-	// RetryIn, a part of the target, is when a refused client may come back.
-	RetryIn float64
-	// WriteWithin bounds the sending of an answer whose client waits no longer.
-	WriteWithin time.Duration
-	// Crowd, times its slots, is how much a searcher may have to do before requests of the highest priority are refused.
-	Crowd float64
-	// Hold is how long a request may wait for a node that just started.
-	Hold time.Duration
+	// PartialResponseAfter is the part of the target that is used before a partial answer is weighed.
+	PartialResponseAfter float64
+	// GiveUpAfter is the part of the client's time that is used before giving up.
+	GiveUpAfter float64
+	// LateResponseValue is what a late answer is taken to be worth beside one in time.
+	LateResponseValue float64
+	// RetryAfterRatio, a part of the target, is when a refused client may come back.
+	RetryAfterRatio float64
+	// WriteTimeout bounds the sending of an answer whose client waits no longer.
+	WriteTimeout time.Duration
+	// OverloadFactor, times its slots, is how much a searcher may have to do before requests of the highest priority are refused.
+	OverloadFactor float64
+	// StartupWait is how long a request may wait for a node that just started.
+	StartupWait time.Duration
 	// Clock tells steady time, and how long ago a hut in touch with a majority
 	// answered; beyond Deaf of that the node keeps to versions that are settled.
-	Clock func() (now, heard time.Duration)
-	Deaf  time.Duration
+	Clock           func() (now, heard time.Duration)
+	MajorityTimeout time.Duration
 }
 
-// Head serves clients.
-type Head struct {
+// Handler serves clients.
+type Handler struct {
 	opt   Options
 	guide *scatter.Guide
 	now   atomic.Pointer[Snapshot]
@@ -115,35 +115,35 @@
 	lent    atomic.Int64
 
 	choice *relay.Balancer
-	call   Caller
-	pantry *Pantry
+	call   RelayCaller
+	pantry *CacheHandler
 }
 
 // New makes a head without a snapshot; until it has one it refuses.
-func New(o Options, g *scatter.Guide) *Head {
-	h := &Head{opt: o, guide: g, first: make(chan struct{}), ending: make(chan struct{})}
+func New(o Options, g *scatter.Guide) *Handler {
+	h := &Handler{opt: o, guide: g, first: make(chan struct{}), ending: make(chan struct{})}
 	h.chain = []filter{h.pin, h.bound, h.read, h.route, h.times, h.serve}
 	return h
 }
 
-// Set puts a snapshot in force for the requests that come from now on.
-func (h *Head) Set(s *Snapshot) {
+// SetSnapshot puts a snapshot in force for the requests that come from now on.
+func (h *Handler) SetSnapshot(s *Snapshot) {
 	if h.now.Swap(s) == nil {
 		close(h.first)
 	}
 }
 
-// Current is the snapshot in force.
-func (h *Head) Current() *Snapshot { return h.now.Load() }
+// Snapshot is the snapshot in force.
+func (h *Handler) Snapshot() *Snapshot { return h.now.Load() }
 
-// Leave makes every further answer the last on its connection.
-func (h *Head) Leave() { h.leave.Store(true) }
+// Drain makes every further answer the last on its connection.
+func (h *Handler) Drain() { h.leave.Store(true) }
 
-// End answers, once, all that waits here and has not gone to a searcher.
-func (h *Head) End() { close(h.ending) }
+// CancelWaiting answers, once, all that waits here and has not gone to a searcher.
+func (h *Handler) CancelWaiting() { close(h.ending) }
 
-// Busy counts the requests under way.
-func (h *Head) Busy() int64 { return h.busy.Load() }
+// InFlight counts the requests under way.
+func (h *Handler) InFlight() int64 { return h.busy.Load() }
 
 // visit is one request on its way through the chain.
 type visit struct {
@@ -163,7 +163,7 @@
 type filter func(v *visit) bool
 
 // Handle is the handler for the clients' listener.
-func (h *Head) Handle(_ context.Context, c *app.RequestContext) {
+func (h *Handler) Handle(_ context.Context, c *app.RequestContext) {
 	h.busy.Add(1)
 	defer h.busy.Add(-1)
 	v := &visit{c: c, start: time.Now()}
@@ -176,16 +176,16 @@
 		c.SetConnectionClose()
 	} else if v.snap != nil {
 		// The client must not come just when the node closes.
-		if s := int(v.snap.Map.Limits.Idle / time.Second); s > 1 {
+		if s := int(v.snap.RouteTable.Limits.Idle / time.Second); s > 1 {
 			c.Response.Header.Set("Keep-Alive", "timeout="+strconv.Itoa(s-1))
 		}
 	}
 	// A long answer over a slow link may take as long as its client waits; a
 	// peer that is gone is noticed sooner, by the connection itself.
-	_ = c.GetConn().SetWriteTimeout(max(h.opt.WriteWithin, time.Until(v.times.Until)))
+	_ = c.GetConn().SetWriteTimeout(max(h.opt.WriteTimeout, time.Until(v.times.Until)))
 }
 
-func (h *Head) refuse(v *visit, status int, why string) bool {
+func (h *Handler) refuse(v *visit, status int, why string) bool {
 	v.c.SetStatusCode(status)
 	v.c.Response.Header.SetContentType("text/plain")
 	v.c.Response.SetBodyString(why + "\n")
@@ -200,21 +200,21 @@
 }
 
 // retryAfter tells the client when to come back.
-func (h *Head) retryAfter(v *visit, target time.Duration) {
-	h.comeBack(v, time.Duration(float64(target)*h.opt.RetryIn*(0.5+rand.Float64())))
+func (h *Handler) retryAfter(v *visit, target time.Duration) {
+	h.comeBack(v, time.Duration(float64(target)*h.opt.RetryAfterRatio*(0.5+rand.Float64())))
 }
 
-func (h *Head) comeBack(v *visit, in time.Duration) {
+func (h *Handler) comeBack(v *visit, in time.Duration) {
 	v.c.Response.Header.Set("Retry-After", strconv.FormatFloat(in.Seconds(), 'f', 3, 64))
 }
 
 // pin takes the snapshot that the request keeps to its end.
-func (h *Head) pin(v *visit) bool {
+func (h *Handler) pin(v *visit) bool {
 	if v.snap = h.now.Load(); v.snap == nil {
 		select {
 		case <-h.first:
 			v.snap = h.now.Load()
-		case <-time.After(h.opt.Hold):
+		case <-time.After(h.opt.StartupWait):
 		}
 	}
 	if v.snap == nil {
@@ -224,8 +224,8 @@
 }
 
 // bound keeps clients within the operator's limits.
-func (h *Head) bound(v *visit) bool {
-	l := v.snap.Map.Limits
+func (h *Handler) bound(v *visit) bool {
+	l := v.snap.RouteTable.Limits
 	if len(v.c.Request.Header.RawHeaders())+len(v.c.Request.Header.RequestURI()) > l.Header {
 		v.last = true
 		return h.refuse(v, 431, "headers too large")
@@ -238,7 +238,7 @@
 }
 
 // read checks the request strictly: nothing doubtful reaches a searcher.
-func (h *Head) read(v *visit) bool {
+func (h *Handler) read(v *visit) bool {
 	hd := &v.c.Request.Header
 	req, err := upstream.NewRequest(string(hd.Method()), string(hd.RequestURI()), hd.RawHeaders(), v.c.Request.Body())
 	if err != nil || !hd.IsHTTP11() {
@@ -251,8 +251,8 @@
 }
 
 // route finds the route, or there is none.
-func (h *Head) route(v *visit) bool {
-	if v.route = v.snap.Map.Match(v.req.Host, v.req.Target); v.route == nil {
+func (h *Handler) route(v *visit) bool {
+	if v.route = v.snap.RouteTable.Match(v.req.Host, v.req.Target); v.route == nil {
 		return h.refuse(v, 404, "no route")
 	}
 	v.req.Route, v.req.LatencyTarget = v.route.Name, v.route.Target
@@ -260,7 +260,7 @@
 }
 
 // times sets the bounds of the request.
-func (h *Head) times(v *visit) bool {
+func (h *Handler) times(v *visit) bool {
 	limit := v.route.Timeout
 	if d := v.req.DeadlineMs; d >= 0 && d < float64(limit)/float64(time.Millisecond) {
 		limit = time.Duration(d * float64(time.Millisecond))
@@ -269,14 +269,14 @@
 		// Never offered to a searcher: 503 says so, 504 would not.
 		return h.refuse(v, 503, "no time left")
 	}
-	soft := time.Duration(float64(v.route.Target) * h.opt.Soft)
+	soft := time.Duration(float64(v.route.Target) * h.opt.PartialResponseAfter)
 	if v.spent = h.since(v); v.spent < soft {
 		soft -= v.spent
 	}
 	v.times = scatter.Times{
 		Start: v.start, Target: v.route.Target,
 		Soft:  v.start.Add(soft),
-		Hard:  v.start.Add(time.Duration(float64(limit) * h.opt.Hard)),
+		Hard:  v.start.Add(time.Duration(float64(limit) * h.opt.GiveUpAfter)),
 		Until: v.start.Add(limit),
 	}
 	return true
@@ -284,7 +284,7 @@
 
 // since tells how long ago the client first asked: every client of a route
 // comes with the same time at first, and with less when it comes again.
-func (h *Head) since(v *visit) time.Duration {
+func (h *Handler) since(v *visit) time.Duration {
 	d := v.req.DeadlineMs
 	if d < 0 {
 		return 0
@@ -299,12 +299,12 @@
 }
 
 // serve sends the request on and answers.
-func (h *Head) serve(v *visit) bool {
+func (h *Handler) serve(v *visit) bool {
 	r := v.route
 	if r.Cached && h.pantry != nil && (v.req.Method == "GET" || v.req.Method == "HEAD") && !v.req.HasBody() {
 		return h.cached(v)
 	}
-	terms := scatter.Terms{Attempts: r.Attempts, Safe: r.Safe, Need: 1, Late: h.opt.Late}
+	terms := scatter.Terms{Attempts: r.Attempts, Safe: r.Safe, Need: 1, Late: h.opt.LateResponseValue}
 	var legs []*scatter.Leg
 	if len(r.Gathered) > 0 {
 		terms.Need = r.Share
@@ -317,9 +317,9 @@
 	}
 	// The lower a request's priority, the sooner it is refused; one that is
 	// late already makes room for those that can be in time.
-	factor := h.opt.Crowd * (1 - 0.15*float64(min(r.Priority, 4)))
+	factor := h.opt.OverloadFactor * (1 - 0.15*float64(min(r.Priority, 4)))
 	if v.spent >= r.Target {
-		factor *= h.opt.Late
+		factor *= h.opt.LateResponseValue
 	}
 	if h.crowded(legs, factor) {
 		return h.refuse(v, 503, "all searchers are busy")
@@ -347,7 +347,7 @@
 // crowded tells whether more than half of the legs would wait in a long
 // queue, that is behind more than factor times the slots. Then the request is
 // better refused before anything of it runs.
-func (h *Head) crowded(legs []*scatter.Leg, factor float64) bool {
+func (h *Handler) crowded(legs []*scatter.Leg, factor float64) bool {
 	n := 0
 	for _, l := range legs {
 		if h.guide.Range.Overloaded(l.Among(), factor) {
@@ -358,7 +358,7 @@
 }
 
 // pass gives a searcher's answer back as it is.
-func (h *Head) pass(v *visit, o *upstream.Attempt) {
+func (h *Handler) pass(v *visit, o *upstream.Attempt) {
 	out := &v.c.Response
 	out.SetStatusCode(o.Status)
 	named := map[string]bool{}
@@ -390,7 +390,7 @@
 }
 
 // answerGathered merges the parts that are in.
-func (h *Head) answerGathered(v *visit, p *scatter.Party) {
+func (h *Handler) answerGathered(v *visit, p *scatter.Party) {
 	var bodies [][]byte
 	stamps := make([]byte, 0, 40*len(p.Legs))
 	for _, l := range p.Legs {
--- a/internal/frontend/write_test.go
+++ b/internal/frontend/write_test.go
@@ -45,16 +45,16 @@
 }
 
 // idleHead has a route and no searchers.
-func idleHead() *Head {
+func idleHead() *Handler {
 	conf := &config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: []*config.Route{
 		{Name: "r", HostName: "a.example", PathPrefix: "/", RouteKind: "safe", TimeoutMs: 6000, Service: "s", Attempts: 1}}}
 	guide := &scatter.Guide{Range: upstream.New(upstream.Options{TwoChoicesThreshold: 5, DecayTime: time.Second}), Ledger: ratelimit.New(ratelimit.Rules{Window: time.Second}, 0), Steady: func() time.Duration { return 0 }}
-	h := New(Options{Soft: 0.9, Hard: 0.97, WriteWithin: 2 * time.Second, Crowd: 2}, guide)
-	h.Set(&Snapshot{Map: routing.Compile(conf, routing.Limits{Header: 1 << 14, Body: 1 << 14})})
+	h := New(Options{PartialResponseAfter: 0.9, GiveUpAfter: 0.97, WriteTimeout: 2 * time.Second, OverloadFactor: 2}, guide)
+	h.SetSnapshot(&Snapshot{RouteTable: routing.Compile(conf, routing.Limits{Header: 1 << 14, Body: 1 << 14})})
 	return h
 }
 
-func handle(h *Head, deadline string) (*app.RequestContext, *timedConn) {
+func handle(h *Handler, deadline string) (*app.RequestContext, *timedConn) {
 	conn := &timedConn{}
 	c := app.NewContext(0)
 	c.SetConn(conn)
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -331,7 +331,7 @@
 		t.Fatalf("%d %s", st, body)
 	}
 	want := testcluster.TopRecords(7, "s1", "f1", "f2", "f3")
-	lent := func() int64 { return w.Nodes["12"].Front().Status().Helped }
+	lent := func() int64 { return w.Nodes["12"].Front().Status().Relayed }
 	w.Eventually("the other front helps", func() bool {
 		r, body, _ := w.Request(11, "GET", "/g/x?y=%2F", "")
 		return r.StatusCode == 200 && bytes.Equal(body, want) && lent() > 0
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -523,7 +523,7 @@
 	w.T.Helper()
 	w.Eventually("the fronts hold "+string(phase), func() bool {
 		for _, n := range []string{"11", "12"} {
-			if l := w.Nodes[n].Front().Snapshot().Lanes["plain"]; l == nil || l.Phase != phase {
+			if l := w.Nodes[n].Front().Snapshot().TrafficSplits["plain"]; l == nil || l.Phase != phase {
 				return false
 			}
 		}
