--- a/internal/control/lease_test.go
+++ b/internal/control/lease_test.go
@@ -22,7 +22,7 @@
 	w.ListenOnPort(cut, "2", "3", "11", "12")
 	w.UseInternalPort(w.Port+2, "1")
 	w.UseInternalPort(cut, "2", "3", "11", "12")
-	w.SetSearcherState("plain-a", "draining")
+	w.SetEndpointState("plain-a", "draining")
 	both := 0
 	w.Eventually("the majority goes on", func() bool {
 		st := two.Status()
@@ -40,7 +40,7 @@
 		return s["plain-a"].RunCount() == ran
 	})
 	// The list lags and calls it ready once more. Several leases go by.
-	w.SetSearcherState("plain-a", "ready")
+	w.SetEndpointState("plain-a", "ready")
 	alone := one.Status().TableStamp
 	for end := time.Now().Add(6 * one.Host().Heartbeats(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		st := one.Status()
@@ -79,7 +79,7 @@
 	if both > 0 {
 		t.Errorf("seen to poll both: %d times", both)
 	}
-	w.SetSearcherState("s1-a", "draining") // a change, so that there is a table of that epoch
+	w.SetEndpointState("s1-a", "draining") // a change, so that there is a table of that epoch
 	w.Eventually("it shows that it is in touch again, and what it remembers", func() bool {
 		st := one.Status()
 		return !st.Isolated && st.MajorityAgeMs < one.Host().Heartbeats(1).Milliseconds() && st.DurableSlot == st.Slot && st.BehindBy == 0 && st.Incarnation == 1 && st.RememberedChanges == 1 && st.AppliedChanges == 1
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -35,7 +35,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	t.Logf("a vote after %v", time.Since(at))
-	w.Wipe(1)
+	w.WipeDisk(1)
 	newest := end()
 	w.Eventually("what was acknowledged is read back", func() bool {
 		st, body := w.PutConfiguration(4, "GET", "", "")
@@ -173,7 +173,7 @@
 		}
 	}
 	// The closing loss, in this very moment.
-	w.Wipe(1)
+	w.WipeDisk(1)
 	if took > time.Second {
 		t.Errorf("leaving took %v", took)
 	}
@@ -252,10 +252,10 @@
 	w.StartNode(4, false, 1)
 	w.Eventually("the first has the place", func() bool { return w.IsVoter(1, 4) })
 	w.StartNode(5, false, 2)
-	w.Wipe(4)
+	w.WipeDisk(4)
 	w.Eventually("the second follows", func() bool { return w.IsVoter(2, 5) })
 	for range 2 {
-		w.Wipe(2)
+		w.WipeDisk(2)
 		w.StartNode(2, false, 1)
 	}
 	w.Eventually("the lost disk votes again", func() bool { return w.IsVoter(1, 2) })
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -22,10 +22,10 @@
 	h.ProposalLock().Lock()
 	calls := 0
 	got := make(chan int, 4)
-	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutOrder, nodeapi.PathPurge: `{"Tag":"x"}`} {
+	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutBody, nodeapi.PathPurge: `{"Tag":"x"}`} {
 		calls++
 		go func() {
-			status, head := w.PostOrder(1, path, body, map[string]string{nodeapi.HeaderForwardedBy: "x", nodeapi.HeaderTimeLeft: "120"})
+			status, head := w.PostOperator(1, path, body, map[string]string{nodeapi.HeaderForwardedBy: "x", nodeapi.HeaderTimeLeft: "120"})
 			testcluster.CheckRetryAfter(t, head)
 			got <- status
 		}()
@@ -72,7 +72,7 @@
 	w, h := testcluster.StartSingleControlNode(t)
 	order := func(target string) int {
 		t.Helper()
-		status, _ := w.PostOrder(1, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutOrder, "v2", target, 1), nil)
+		status, _ := w.PostOperator(1, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutBody, "v2", target, 1), nil)
 		return status
 	}
 	last := func(want string, phase consensus.Phase) {
@@ -129,7 +129,7 @@
 	})
 	one, two := w.Nodes["1"].Control(), w.Nodes["2"].Control()
 	w.Eventually("the first order", func() bool {
-		status, _ := w.PostOrder(1, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+		status, _ := w.PostOperator(1, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
 		return status == 200
 	})
 	w.Eventually("both know it", func() bool { _, ok := two.State().Rollout("plain"); return ok })
@@ -137,7 +137,7 @@
 	settleOrder(t, one, consensus.PhaseRolledBack)
 	w.Eventually("the end is known", func() bool { r, _ := two.State().Rollout("plain"); return !r.Running() })
 	two.Loop().Call(func() { two.Acceptor().State = old })
-	if status, _ := w.PostOrder(2, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutOrder, "v2", "v3", 1), nil); status != 200 {
+	if status, _ := w.PostOperator(2, nodeapi.PathRollouts, strings.Replace(testcluster.RolloutBody, "v2", "v3", 1), nil); status != 200 {
 		t.Errorf("an order where the node took the last one for running: %d", status)
 	}
 	if r, _ := two.State().Rollout("plain"); r.TargetVersion != "v3" {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -12,7 +12,7 @@
 func TestGoodVersionCompletesWhileAHutGoes(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	failed := w.StartTraffic()
-	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
+	news := []*testcluster.Endpoint{w.AddEndpoint("plain", "plain-c-new"), w.AddEndpoint("plain", "plain-d-new")}
 	if status, _ := w.Rollout(1); status != 404 {
 		t.Fatalf("never ordered: %d", status)
 	}
@@ -40,7 +40,7 @@
 	for _, id := range []string{"plain-a", "plain-b"} {
 		s[id].Server.CloseClientConnections()
 		_ = s[id].Server.Listener.Close()
-		w.SetSearcherState(id, "draining")
+		w.SetEndpointState(id, "draining")
 	}
 	before := failed()
 	for range 60 {
@@ -65,7 +65,7 @@
 func TestBadVersionIsRolledBackAndStaysSoAfterPowerLoss(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
-	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
+	news := []*testcluster.Endpoint{w.AddEndpoint("plain", "plain-c-new"), w.AddEndpoint("plain", "plain-d-new")}
 	for _, s := range news {
 		s.SetMode("500")
 	}
@@ -93,8 +93,8 @@
 func TestPowerLossMidRollout(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
-	w.AddSearcher("plain", "plain-c-new")
-	w.AddSearcher("plain", "plain-d-new")
+	w.AddEndpoint("plain", "plain-c-new")
+	w.AddEndpoint("plain", "plain-d-new")
 	if status, body := w.StartRollout(3, "v2", 40); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
@@ -122,7 +122,7 @@
 	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
 	for _, id := range []string{"plain-c-new", "plain-d-new"} {
-		w.AddSearcher("plain", id).SetMode("500")
+		w.AddEndpoint("plain", id).SetMode("500")
 	}
 	holder := w.Nodes["1"].Control()
 	holder.ProposalLock().Lock() // it can't propose
@@ -150,7 +150,7 @@
 // and keeps to its share.
 func TestFrontStartsMidRollout(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
-	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
+	news := []*testcluster.Endpoint{w.AddEndpoint("plain", "plain-c-new"), w.AddEndpoint("plain", "plain-d-new")}
 	if status, body := w.StartRollout(3, "v2", 400); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
@@ -244,7 +244,7 @@
 func TestCoreCutMidRollout(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	failed := w.StartTraffic()
-	news := []*testcluster.Searcher{w.AddSearcher("plain", "plain-c-new"), w.AddSearcher("plain", "plain-d-new")}
+	news := []*testcluster.Endpoint{w.AddEndpoint("plain", "plain-c-new"), w.AddEndpoint("plain", "plain-d-new")}
 	asked := func() int { return news[0].RunCount() + news[1].RunCount() }
 	if status, body := w.StartRollout(3, "v2", 60); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -100,7 +100,7 @@
 		return holder != ""
 	})
 	w.Kill(holder)
-	w.SetSearcherState("plain-a", "draining")
+	w.SetEndpointState("plain-a", "draining")
 	listed := time.Now()
 	bound := time.Duration(w.Settings(11, false, 1).Bounds.DrainMs) * time.Millisecond
 	w.Eventually("the fronts leave the searcher alone", func() bool {
--- a/internal/node/cache_test.go
+++ b/internal/node/cache_test.go
@@ -31,9 +31,9 @@
 // The content tier on loopback: one fetch for many, purges, lost larders, no larder at all.
 func TestCopies(t *testing.T) {
 	w := testcluster.New(t)
-	origin := w.AddSearcher("origin", "origin-a")
+	origin := w.AddEndpoint("origin", "origin-a")
 	origin.ServeObjects(1)
-	w.AddSearcher("s1", "s1-a")
+	w.AddEndpoint("s1", "s1-a")
 	for _, n := range []int{1, 2, 3, 11, 12, 21, 22} {
 		w.StartNode(n, true, 1, 2, 3)
 	}
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -38,7 +38,7 @@
 	if r.StatusCode != 200 || !bytes.Equal(body, testcluster.Records("plain")) || len(r.Header["X-Kept"]) != 2 || r.Header.Get("Swiftswitch-Server-Stamp") == "" {
 		t.Fatalf("plain: %d %v", r.StatusCode, r.Header)
 	}
-	runs := append(s["plain-a"].Runs, s["plain-b"].Runs...)
+	runs := append(s["plain-a"].Executed, s["plain-b"].Executed...)
 	if !strings.Contains(strings.Join(runs, "\n"), "POST /p/a%2F..//b?x=%20 r") || !strings.Contains(strings.Join(runs, "\n"), " payload") {
 		t.Fatalf("it arrived changed: %v", runs)
 	}
@@ -126,7 +126,7 @@
 	// A searcher that drains gets nothing more.
 	s["plain-a"].SetMode("")
 	s["plain-b"].SetMode("")
-	w.SetSearcherState("plain-a", "draining")
+	w.SetEndpointState("plain-a", "draining")
 	time.Sleep(700 * time.Millisecond)
 	before := s["plain-a"].RunCount()
 	for i := 0; i < 10; i++ {
@@ -204,7 +204,7 @@
 func TestCutSwitch(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	for _, id := range []string{"n1-a", "n1-b", "n2-a", "n2-b", "n3-a"} {
-		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
+		s[id] = w.AddEndpoint(strings.Split(id, "-")[0], id)
 	}
 	time.Sleep(500 * time.Millisecond)
 	if st, body := w.PutConfiguration(1, "PUT", "3", testcluster.ConfigurationBody(5, "n1", "n2")); st != 200 {
@@ -253,9 +253,9 @@
 func TestFiveHutsLoseTwoDisks(t *testing.T) {
 	w := testcluster.New(t)
 	w.ToleratedLosses = 2
-	s := w.AddSearcher("plain", "plain-a")
-	w.AddSearcher("plain", "plain-b")
-	w.AddSearcher("s1", "s1-a")
+	s := w.AddEndpoint("plain", "plain-a")
+	w.AddEndpoint("plain", "plain-b")
+	w.AddEndpoint("s1", "s1-a")
 	for _, n := range []int{1, 2, 3, 4, 5, 11} {
 		w.StartNode(n, true, 1, 2, 3)
 	}
@@ -303,9 +303,9 @@
 		state := "draining"
 		if i%2 == 1 {
 			state = "ready"
-			w.RemoveSearcher("plain-a")
+			w.RemoveEndpoint("plain-a")
 		}
-		w.SetSearcherState("plain-a", state)
+		w.SetEndpointState("plain-a", state)
 		w.StartNode(holder, false, 1, 2, 3)
 		w.Eventually("a new epoch is taken", func() bool { return w.Nodes["3"].Control().Status().LeaseEpoch > before })
 		time.Sleep(800 * time.Millisecond) // DrainMs
@@ -325,7 +325,7 @@
 func TestAcross(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	for _, id := range []string{"f1-far", "f2-far", "f3-far"} {
-		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
+		s[id] = w.AddEndpoint(strings.Split(id, "-")[0], id)
 	}
 	if st, body := w.PutConfiguration(1, "PUT", "3", testcluster.ConfigurationBody(5, "s1", "f1", "f2", "f3")); st != 200 {
 		t.Fatalf("%d %s", st, body)
--- a/internal/node/forward_cluster_test.go
+++ b/internal/node/forward_cluster_test.go
@@ -41,9 +41,9 @@
 		rw.WriteHeader(412)
 	})
 	defer close(hold)
-	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutOrder))
+	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutBody))
 	at := time.Now()
-	status, h := w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+	status, h := w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
 	if took := time.Since(at); status != 412 || took > own {
 		t.Fatalf("the second node's answer: %d after %v of %v", status, took, own)
 	}
@@ -54,11 +54,11 @@
 		t.Errorf("it was told that %q ms of %v are left", left.Load(), own)
 	}
 	// The one that hangs is asked last from now on.
-	if status, _ := w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
+	if status, _ := w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
 		t.Errorf("%d; the one that hangs was asked %d times, the other %d", status, hung.Load(), settled.Load())
 	}
 	// What is left of the patience counts from the first node on.
-	if status, _ = w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, map[string]string{nodeapi.HeaderForwardedBy: "x"}); status != 503 {
+	if status, _ = w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, map[string]string{nodeapi.HeaderForwardedBy: "x"}); status != 503 {
 		t.Errorf("passed on twice: %d", status)
 	}
 }
@@ -71,9 +71,9 @@
 	for _, n := range []int{8, 9} {
 		w.ServeFakeNode(n, func(http.ResponseWriter, *http.Request) { <-hold })
 	}
-	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutOrder))
+	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutBody))
 	at := time.Now()
-	status, h := w.PostOrder(11, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+	status, h := w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
 	if took := time.Since(at); status != 503 || took > own+own/2 {
 		t.Errorf("nobody answers: %d after %v, the patience is %v", status, took, own)
 	}
@@ -86,8 +86,8 @@
 	frozen := make(chan struct{})
 	go w.Nodes["1"].ViewLoop.Call(func() { close(frozen); time.Sleep(3 * gap) })
 	<-frozen
-	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutOrder, nodeapi.PathPurge: `{"Tag":"x"}`} {
-		status, head := w.PostOrder(1, path, body, nil)
+	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutBody, nodeapi.PathPurge: `{"Tag":"x"}`} {
+		status, head := w.PostOperator(1, path, body, nil)
 		if status != 503 {
 			t.Errorf("%s: an order that may be an old one: %d", path, status)
 		}
@@ -98,7 +98,7 @@
 	}
 	// A change bears its lateness, and later orders are taken.
 	w.Eventually("orders are taken again", func() bool {
-		status, _ := w.PostOrder(1, nodeapi.PathRollouts, testcluster.RolloutOrder, nil)
+		status, _ := w.PostOperator(1, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
 		return status == 200
 	})
 	go w.Nodes["1"].ViewLoop.Call(func() { time.Sleep(2 * gap) })
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -27,29 +27,29 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// Searcher stands in for one searcher.
-type Searcher struct {
+// Endpoint stands in for one searcher.
+type Endpoint struct {
 	id, service string
 	zone        string
 	version     string
 	Server      *httptest.Server
-	Mu          sync.Mutex
-	Runs        []string
+	mu          sync.Mutex
+	Executed    []string
 	mode        string // "", "500", "cut", "notrun", "slow", "surplus", "nostamp"
-	// ObjectVersion is the version of the objects that an origin serves; 0: it is none.
-	ObjectVersion int
+	// objectVersion is the version of the objects that an origin serves; 0: it is none.
+	objectVersion int
 }
 
-func (s *Searcher) SetMode(mode string) { s.Mu.Lock(); s.mode = mode; s.Mu.Unlock() }
+func (s *Endpoint) SetMode(mode string) { s.mu.Lock(); s.mode = mode; s.mu.Unlock() }
 
 // ServeObjects makes the searcher an origin whose objects have this version.
-func (s *Searcher) ServeObjects(version int) {
-	s.Mu.Lock()
-	s.ObjectVersion = version
-	s.Mu.Unlock()
+func (s *Endpoint) ServeObjects(version int) {
+	s.mu.Lock()
+	s.objectVersion = version
+	s.mu.Unlock()
 }
 
-func (s *Searcher) RunCount() int { s.Mu.Lock(); defer s.Mu.Unlock(); return len(s.Runs) }
+func (s *Endpoint) RunCount() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.Executed) }
 
 // Records are the same for all searchers of a service.
 func Records(service string) []byte {
@@ -61,20 +61,20 @@
 	return out
 }
 
-func (s *Searcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if e := r.Header.Get("Swiftswitch-Expected-Instance"); e != s.id {
 		w.WriteHeader(421)
 		return
 	}
-	s.Mu.Lock()
+	s.mu.Lock()
 	mode := s.mode
 	id := r.Header.Get("Swiftswitch-Request-Id")
 	if mode != "notrun" {
-		s.Runs = append(s.Runs, r.Method+" "+r.RequestURI+" "+id+" "+string(body))
+		s.Executed = append(s.Executed, r.Method+" "+r.RequestURI+" "+id+" "+string(body))
 	}
-	stamp := fmt.Sprintf("%s.%s.%d", s.id, id, len(s.Runs))
-	s.Mu.Unlock()
+	stamp := fmt.Sprintf("%s.%s.%d", s.id, id, len(s.Executed))
+	s.mu.Unlock()
 	if mode != "nostamp" {
 		w.Header().Set("Swiftswitch-Server-Stamp", stamp)
 	}
@@ -102,9 +102,9 @@
 		_ = c.Close()
 		return
 	}
-	s.Mu.Lock()
-	object := s.ObjectVersion
-	s.Mu.Unlock()
+	s.mu.Lock()
+	object := s.objectVersion
+	s.mu.Unlock()
 	if object > 0 {
 		tag := fmt.Sprintf("%q", fmt.Sprint("v", object))
 		w.Header().Set("ETag", tag)
@@ -125,7 +125,7 @@
 type Cluster struct {
 	T         *testing.T
 	mu        sync.Mutex
-	Searchers map[string]*Searcher
+	Endpoints map[string]*Endpoint
 	state     map[string]string
 	platform  *httptest.Server
 	Nodes     map[string]*node.Node
@@ -140,7 +140,7 @@
 
 func New(t *testing.T) *Cluster {
 	clusterNumber++
-	w := &Cluster{T: t, Searchers: map[string]*Searcher{}, state: map[string]string{}, Nodes: map[string]*node.Node{}, DataDirs: map[string]string{}, subnet: fmt.Sprintf("127.%d.%d.", 7+os.Getpid()%240, clusterNumber)}
+	w := &Cluster{T: t, Endpoints: map[string]*Endpoint{}, state: map[string]string{}, Nodes: map[string]*node.Node{}, DataDirs: map[string]string{}, subnet: fmt.Sprintf("127.%d.%d.", 7+os.Getpid()%240, clusterNumber)}
 	l, err := net.Listen("tcp4", w.subnet+"200:0")
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 			w.Kill(name)
 		}
 		w.platform.Close()
-		for _, s := range w.Searchers {
+		for _, s := range w.Endpoints {
 			s.Server.CloseClientConnections()
 			s.Server.Close()
 		}
@@ -166,7 +166,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []string
-	for id := range w.Searchers {
+	for id := range w.Endpoints {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
@@ -175,7 +175,7 @@
 	page := map[string]any{"NextPageToken": nil}
 	var out []map[string]any
 	for i := from; i < len(ids) && i < from+3; i++ {
-		s := w.Searchers[ids[i]]
+		s := w.Endpoints[ids[i]]
 		out = append(out, map[string]any{"InstanceId": s.id, "Service": s.service, "Address": s.Server.Listener.Addr().String(), "Zone": s.zone, "Slots": 2, "State": w.state[s.id], "ColdRemainingMs": 0, "Version": s.version})
 	}
 	if from+3 < len(ids) {
@@ -185,8 +185,8 @@
 	_ = json.NewEncoder(rw).Encode(page)
 }
 
-func (w *Cluster) AddSearcher(service, id string) *Searcher {
-	s := &Searcher{id: id, service: service, zone: "z1", version: "v1"}
+func (w *Cluster) AddEndpoint(service, id string) *Endpoint {
+	s := &Endpoint{id: id, service: service, zone: "z1", version: "v1"}
 	if strings.HasSuffix(id, "-new") {
 		s.version = "v2"
 	}
@@ -195,20 +195,20 @@
 	}
 	s.Server = httptest.NewServer(s)
 	w.mu.Lock()
-	w.Searchers[id], w.state[id] = s, "ready"
+	w.Endpoints[id], w.state[id] = s, "ready"
 	w.mu.Unlock()
 	return s
 }
 
-// RemoveSearcher takes a searcher off the discovery list; it goes on answering.
-func (w *Cluster) RemoveSearcher(id string) {
+// RemoveEndpoint takes a searcher off the discovery list; it goes on answering.
+func (w *Cluster) RemoveEndpoint(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.Searchers, id)
+	delete(w.Endpoints, id)
 }
 
-// SetSearcherState changes how the discovery list describes a searcher.
-func (w *Cluster) SetSearcherState(id, state string) { w.mu.Lock(); w.state[id] = state; w.mu.Unlock() }
+// SetEndpointState changes how the discovery list describes a searcher.
+func (w *Cluster) SetEndpointState(id, state string) { w.mu.Lock(); w.state[id] = state; w.mu.Unlock() }
 
 func (w *Cluster) IP(n int) string { return fmt.Sprintf("%s%d", w.subnet, n) }
 
@@ -401,11 +401,11 @@
 }
 
 // StartDefault runs three huts and two fronts over two shards and a plain service.
-func StartDefault(t *testing.T) (*Cluster, map[string]*Searcher) {
+func StartDefault(t *testing.T) (*Cluster, map[string]*Endpoint) {
 	w := New(t)
-	s := map[string]*Searcher{}
+	s := map[string]*Endpoint{}
 	for _, id := range []string{"s1-a", "s1-b", "s2-a", "s2-b", "plain-a", "plain-b"} {
-		s[id] = w.AddSearcher(strings.Split(id, "-")[0], id)
+		s[id] = w.AddEndpoint(strings.Split(id, "-")[0], id)
 	}
 	for _, n := range []int{1, 2, 3, 11, 12} {
 		w.StartNode(n, true, 1, 2, 3)
@@ -444,7 +444,7 @@
 func StartControlNodes(t *testing.T, losses int, huts ...int) *Cluster {
 	w := New(t)
 	w.ToleratedLosses = losses
-	w.AddSearcher("plain", "plain-a")
+	w.AddEndpoint("plain", "plain-a")
 	for _, n := range huts {
 		w.StartNode(n, true, 1, 2, 3)
 	}
@@ -462,8 +462,8 @@
 	return w.Control(by).State().IsVoter(w.Control(n).ID())
 }
 
-// Wipe ends a node at once and takes its disk.
-func (w *Cluster) Wipe(n int) {
+// WipeDisk ends a node at once and takes its disk.
+func (w *Cluster) WipeDisk(n int) {
 	w.Kill(fmt.Sprint(n))
 	w.DataDirs[fmt.Sprint("hut-", n)] = w.T.TempDir()
 }
@@ -561,8 +561,8 @@
 	return func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
-// RolloutOrder orders a rollout of the plain service.
-const RolloutOrder = `{"Service":"plain","TargetVersion":"v2","DurationS":40}`
+// RolloutBody orders a rollout of the plain service.
+const RolloutBody = `{"Service":"plain","TargetVersion":"v2","DurationS":40}`
 
 // ServeFakeNode stands in for a node that a call is passed on to.
 func (w *Cluster) ServeFakeNode(n int, handle http.HandlerFunc) {
@@ -575,8 +575,8 @@
 	w.T.Cleanup(func() { _ = srv.Close() })
 }
 
-// PostOrder sends an order and tells the answer's headers too.
-func (w *Cluster) PostOrder(n int, path, body string, header map[string]string) (status int, h http.Header) {
+// PostOperator sends an order and tells the answer's headers too.
+func (w *Cluster) PostOperator(n int, path, body string, header map[string]string) (status int, h http.Header) {
 	w.T.Helper()
 	req, _ := http.NewRequest("POST", fmt.Sprintf("http://%s:%d%s", w.IP(n), w.Port, path), strings.NewReader(body))
 	for k, v := range header {
