--- a/internal/cachenode/fetcher.go
+++ b/internal/cachenode/fetcher.go
@@ -67,7 +67,7 @@
 	mu            sync.Mutex
 	objects       *cache.Store
 	queue         *cache.FetchQueue
-	limits        map[string]*ratelimit.Ceiling
+	limits        map[string]*ratelimit.TokenBucket
 	wakeup        chan struct{}
 	fetches       int64
 	requestNumber int64
@@ -81,7 +81,7 @@
 		host: h, front: front, endpoints: endpoints, purges: purges, name: host.RandomID(),
 		objects: cache.NewStore(maxBytes),
 		queue:   cache.NewFetchQueue(),
-		limits:  map[string]*ratelimit.Ceiling{},
+		limits:  map[string]*ratelimit.TokenBucket{},
 		wakeup:  make(chan struct{}, 1),
 	}
 }
@@ -154,12 +154,12 @@
 	share := k.quota(service)
 	c := k.limits[service]
 	if c == nil {
-		c = &ratelimit.Ceiling{}
-		c.Set(0, 0, now)
+		c = &ratelimit.TokenBucket{}
+		c.SetRate(0, 0, now)
 		k.limits[service] = c
 	}
 	if share >= 0 && share != c.Rate() {
-		c.Set(share, max(0.1, k.host.Settings().Bounds.CeilingWindowS*rateLimitBurst), now)
+		c.SetRate(share, max(0.1, k.host.Settings().Bounds.CeilingWindowS*rateLimitBurst), now)
 	}
 	for k.queue.Queued(service) > 0 {
 		if share >= 0 {
@@ -198,7 +198,7 @@
 	}
 	aim := k.host.Heartbeats(0.5)
 	if r := k.front.Route(f.Host, f.Target); r != nil {
-		aim = r.Target
+		aim = r.TargetLatency
 		until = f.StartedAt + r.Timeout
 	}
 	peer, start := k.front.PickEndpoint(f.Service, aim)
@@ -260,7 +260,7 @@
 			k.wake()
 			return
 		}
-		if r := k.front.Route(f.Host, f.Target); r != nil && r.Cached && r.Lifetime > 0 {
+		if r := k.front.Route(f.Host, f.Target); r != nil && r.Cacheable && r.CacheLifetime > 0 {
 			k.objects.Put(c)
 		}
 		f.Object = c
@@ -371,8 +371,8 @@
 	}
 	s := nodeapi.CacheFetchResponse{Status: 503}
 	var body []byte
-	if r := k.front.Route(a.Host, a.Target); r != nil && a.TimeLeftMs > 0 && r.Cached && r.Sends(a.Service) {
-		s, body = k.Get(a, r.Lifetime, r.Sends)
+	if r := k.front.Route(a.Host, a.Target); r != nil && a.TimeLeftMs > 0 && r.Cacheable && r.SplitsTo(a.Service) {
+		s, body = k.Get(a, r.CacheLifetime, r.SplitsTo)
 	}
 	c.SetStatusCode(200)
 	c.Response.Header.Set(nodeapi.HeaderCacheFetch, string(codec.MustEncode("larder", s)))
--- a/internal/front/cache.go
+++ b/internal/front/cache.go
@@ -190,7 +190,7 @@
 	}
 	began := t.host.Now()
 	left := w.TimeLeft.Milliseconds()
-	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, TimeLeftMs: left, PollTimeoutMs: left, TargetLatencyMs: w.TargetLatency.Milliseconds(), IsRetry: w.IsRetry}, r.Lifetime, r.Sends)
+	s, body := t.fetcher.Get(nodeapi.CacheFetchRequest{Host: w.Host, Target: w.Target, Service: w.Service, Weight: w.Weight, TimeLeftMs: left, PollTimeoutMs: left, TargetLatencyMs: w.TargetLatency.Milliseconds(), IsRetry: w.IsRetry}, r.CacheLifetime, r.SplitsTo)
 	switch s.Status {
 	case 202:
 		s.Status = 504
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -39,7 +39,7 @@
 	loop    *commandloop.Loop
 
 	endpoints   *upstream.Pool
-	retryBudget *ratelimit.Ledger
+	retryBudget *ratelimit.RetryBudget
 	frontend    *frontend.Handler
 	pool        *ants.Pool
 	relays      *relay.Balancer
@@ -55,8 +55,8 @@
 	frontCount      atomic.Int64
 
 	// Owned by the desk.
-	layouts      *shardmap.Board
-	routeTables  map[int64]*routing.Map
+	layouts      *shardmap.State
+	routeTables  map[int64]*routing.Table
 	table        *endpoints.Table
 	controlNodes []nodeapi.ControlNode
 	watching     map[string]bool
@@ -101,17 +101,17 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Server{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Map{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.FrontCounts{}, endpointMissed: make(chan struct{}, 1)}
-	t.defaultLimits = routing.Limits{Header: 16 << 10, Body: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), Idle: config.Milliseconds(b.InTouchMs, 3)}
+	t := &Server{host: n, options: opt, loop: commandloop.New(), pool: pool, routeTables: map[int64]*routing.Table{}, watching: map[string]bool{}, unresponsiveUntil: map[string]time.Duration{}, frontCounts: map[string]upstream.FrontCounts{}, endpointMissed: make(chan struct{}, 1)}
+	t.defaultLimits = routing.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: config.Milliseconds(b.InTouchMs, 1), IdleTimeout: config.Milliseconds(b.InTouchMs, 3)}
 	t.endpoints = upstream.New(upstream.Options{
 		Distance: n.Distance, TCPUserTimeout: n.TCPUserTimeout(), DialTimeout: config.Milliseconds(b.InTouchMs, 0.125), MaxBodyBytes: n.MaxMessageBytes(),
 		IdleTimeout: config.Milliseconds(b.InTouchMs, 1), SettleTime: config.Milliseconds(b.InTouchMs, 0.05), ConsecutiveFailures: 3, BaseEjectionTime: config.Milliseconds(b.InTouchMs, 0.2),
 		DistancePenalty: opt.RemoteZonePenalty, TwoChoicesThreshold: 5, NodeName: s.NodeName, DecayTime: config.Milliseconds(b.InTouchMs, 0.75),
 	})
-	t.retryBudget = ratelimit.New(ratelimit.Rules{
-		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Keep: opt.RetryBudgetUse, Young: 0.3,
+	t.retryBudget = ratelimit.NewRetryBudget(ratelimit.BudgetOptions{
+		Ratio: b.RetryBudgetRatio, Slack: b.RetryBudgetSlack, Window: config.Seconds(b.RetryWindowS, 1), Utilization: opt.RetryBudgetUse, FirstWindowShare: 0.3,
 	}, n.Now())
-	guide := &scatter.Guide{Range: t.endpoints, Ledger: t.retryBudget, Pool: pool, Steady: n.Now, HedgeAt: opt.HedgeAfter}
+	guide := &scatter.Gatherer{Upstream: t.endpoints, RetryBudget: t.retryBudget, Workers: pool, Now: n.Now, HedgeAfter: opt.HedgeAfter}
 	t.frontend = frontend.New(frontend.Options{PartialResponseAfter: opt.PartialAnswerAfter, GiveUpAfter: 0.97, LateResponseValue: opt.LateAnswerValue, RetryAfterRatio: 0.25, WriteTimeout: n.TCPUserTimeout(), StartupWait: n.Heartbeats(0.5), OverloadFactor: opt.OverloadFactor, Clock: t.clock, MajorityTimeout: n.MajorityTimeout()}, guide)
 	if opt.Relay {
 		t.relays = relay.NewBalancer(n.Heartbeats(1))
@@ -138,14 +138,14 @@
 		t.fetcher = cachenode.NewFetcher(n, t, t.endpoints, t.cacheHandler, int(memory*opt.FrontCacheRatio/4))
 	}
 	t.layouts = shardmap.New(shardmap.Options{
-		R: opt.MaxSlotHolders, Least: 2, Lease: n.Heartbeats(opt.SlotLeaseHeartbeats), Wait: config.Milliseconds(b.ConfigEffectMs, opt.LayoutSwitchWait),
+		SlotsPerShard: opt.MaxSlotHolders, MinReady: 2, LeaseDuration: n.Heartbeats(opt.SlotLeaseHeartbeats), SwitchWait: config.Milliseconds(b.ConfigEffectMs, opt.LayoutSwitchWait),
 	})
 	t.progress.Store(&progress{slot: -1, purge: -1, rolloutSlot: -1})
 	t.endpoints.OnHealthy = func(id string) {
-		t.loop.Submit(func() { t.layouts.Answered(id, n.Now()); t.advanceLayouts() })
+		t.loop.Submit(func() { t.layouts.OnAnswer(id, n.Now()); t.advanceLayouts() })
 	}
 	t.endpoints.OnUnhealthy = func(id string) {
-		t.loop.Submit(func() { t.layouts.Silent(id, n.Now()); t.advanceLayouts() })
+		t.loop.Submit(func() { t.layouts.OnSilent(id, n.Now()); t.advanceLayouts() })
 	}
 	t.rollouts.reset()
 	t.endpoints.OnAttempt = t.recordAttempt
@@ -395,7 +395,7 @@
 	t.table = table
 	t.updateProgress(func(h *progress) { h.stamp = table.Stamp })
 	t.endpoints.SetTable(table)
-	t.layouts.Listed(table, t.host.Now())
+	t.layouts.OnEndpoints(table, t.host.Now())
 	t.applyTrafficSplits()
 	t.advanceLayouts()
 	t.publish()
@@ -464,7 +464,7 @@
 	m := routing.Compile(c, t.defaultLimits)
 	t.routeTables[v] = m
 	age := time.Duration(say.AgeMs)*time.Millisecond + on
-	if t.layouts.Built(shardmap.Cut{Version: v, Shards: m.Shards()}, age, t.host.Now()) {
+	if t.layouts.OnBuilt(shardmap.Layout{Version: v, Shards: m.Shards()}, age, t.host.Now()) {
 		t.publish()
 	} else {
 		events.Log(events.LayoutPending, "version", v, "current", t.layouts.Current.Version)
@@ -478,7 +478,7 @@
 	switched, ready := t.layouts.Tick(t.host.Now())
 	freed := t.layouts.TakeFreed()
 	for _, f := range freed {
-		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Searcher, "why", f.Why)
+		events.Log(events.SlotFreed, "shard", f.Shard, "searcher", f.Endpoint, "why", f.Reason)
 	}
 	if switched {
 		events.Log(events.LayoutSwitched, "from", old, "to", t.layouts.Current.Version, "ready", ready)
@@ -501,7 +501,7 @@
 	}
 	s := &frontend.Snapshot{RouteTable: m, Holders: map[string]map[string][]string{}, TrafficSplits: t.rollouts.splits}
 	for _, shard := range t.layouts.Current.Shards {
-		s.Holders[shard] = t.layouts.Held(shard)
+		s.Holders[shard] = t.layouts.HoldersByVersion(shard)
 	}
 	for name, sv := range m.Services {
 		t.endpoints.SetConnectionLimit(name, int(sv.ConnectionLimit))
@@ -518,14 +518,14 @@
 // serveClients starts the clients' listener. Until the node has a configuration and
 // a table, requests wait at its head.
 func (t *Server) serveClients() {
-	lis := t.host.ServerOptions(t.defaultLimits.Idle)
+	lis := t.host.ServerOptions(t.defaultLimits.IdleTimeout)
 	lis.MaxHeaderBytes = t.host.MaxMessageBytes() / 16
 	lis.Tracker = &t.gate
 	lis.Timeouts = func() (time.Duration, time.Duration) {
 		if s := t.frontend.Snapshot(); s != nil {
-			return s.RouteTable.Limits.HeaderTimeout, s.RouteTable.Limits.Idle
+			return s.RouteTable.Limits.HeaderTimeout, s.RouteTable.Limits.IdleTimeout
 		}
-		return t.defaultLimits.HeaderTimeout, t.defaultLimits.Idle
+		return t.defaultLimits.HeaderTimeout, t.defaultLimits.IdleTimeout
 	}
 	go func() {
 		ln, err := transport.Listen(t.host.Settings().ListenAddresses.FrontAddress, t.host.TCPUserTimeout(), t.host.Heartbeats(0.1), t.host.Stopping)
--- a/internal/frontend/across.go
+++ b/internal/frontend/across.go
@@ -21,21 +21,21 @@
 }
 
 // across is nil where the request is none that another front may gather for.
-func (h *Handler) across(v *visit) scatter.Across {
-	if h.choice == nil || len(v.route.Gathered) < 2 || !v.req.IsGetWithoutBody() {
+func (h *Handler) across(v *visit) scatter.Relay {
+	if h.choice == nil || len(v.route.Shards) < 2 || !v.req.IsGetWithoutBody() {
 		return nil
 	}
 	return crossing{h, v}
 }
 
-// Begin picks the front to ask.
-func (c crossing) Begin(zone string) (func([]int, time.Duration) ([]string, []byte), bool) {
+// Pick picks the front to ask.
+func (c crossing) Pick(zone string) (func([]int, time.Duration) ([]string, []byte), bool) {
 	front := c.h.choice.Pick(zone, time.Now())
 	if front == nil {
 		return nil, false
 	}
 	v := c.v
-	version, req, until := v.snap.RouteTable.Version, v.req, v.times.Until
+	version, req, until := v.snap.RouteTable.Version, v.req, v.times.ShardDeadline
 	return func(legs []int, wait time.Duration) ([]string, []byte) {
 		left := time.Until(until)
 		ask := relay.Request{
@@ -68,31 +68,31 @@
 	if route == nil {
 		return relay.Response{}, false
 	}
-	var legs []*scatter.Leg
+	var legs []*scatter.ShardRequest
 	for _, i := range a.Shards {
-		if i < 0 || i >= len(route.Gathered) {
+		if i < 0 || i >= len(route.Shards) {
 			return relay.Response{}, false
 		}
-		legs = append(legs, snap.leg(route.Gathered[i], h.steadyWay(snap, route.Gathered[i])))
+		legs = append(legs, snap.leg(route.Shards[i], h.steadyWay(snap, route.Shards[i])))
 	}
-	req.Route, req.LatencyTarget = route.Name, route.Target
+	req.Route, req.LatencyTarget = route.Name, route.TargetLatency
 	h.busy.Add(1)
 	h.lent.Add(1)
 	defer h.busy.Add(-1)
 	left := time.Duration(a.RemainingMs) * time.Millisecond
 	wait := min(left, time.Duration(a.WaitMs)*time.Millisecond)
-	p := scatter.NewParty(scatter.Terms{Attempts: 1, Safe: true}, legs)
+	p := scatter.NewQuery(scatter.Policy{MaxAttempts: 1, Idempotent: true}, legs)
 	defer p.Release()
-	h.guide.Run(p, req, scatter.Times{Start: start, Target: route.Target, Soft: start.Add(wait), Hard: start.Add(wait), Until: start.Add(left), Lent: true}, nil)
+	h.guide.Gather(p, req, scatter.Deadlines{Start: start, Target: route.TargetLatency, Soft: start.Add(wait), Hard: start.Add(wait), ShardDeadline: start.Add(left), Relayed: true}, nil)
 	say := relay.Response{Stamps: make([]string, len(legs))}
 	var bodies [][]byte
 	for k, l := range legs {
-		if l.Done {
-			say.Stamps[k] = l.Good.Stamp
-			bodies = append(bodies, l.Good.Records())
+		if l.Answered {
+			say.Stamps[k] = l.Answer.Stamp
+			bodies = append(bodies, l.Answer.Records())
 		}
 	}
-	say.Records = scatter.Merge(bodies, route.Top)
+	say.Records = scatter.Merge(bodies, route.TopRecords)
 	return say, true
 }
 
--- a/internal/frontend/answers_test.go
+++ b/internal/frontend/answers_test.go
@@ -120,14 +120,14 @@
 	table, _ := endpoints.NextTable(nil, list, endpoints.Stamp{Epoch: 1})
 	rng.SetTable(table)
 	born := time.Now()
-	guide := &scatter.Guide{Range: rng, Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5,
-		Ledger: ratelimit.New(ratelimit.Rules{Ratio: 1, Slack: 1000, Keep: 1, Young: 1, Window: time.Second}, 0)}
+	guide := &scatter.Gatherer{Upstream: rng, Workers: pool, Now: func() time.Duration { return time.Since(born) }, HedgeAfter: 5,
+		RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Ratio: 1, Slack: 1000, Utilization: 1, FirstWindowShare: 1, Window: time.Second}, 0)}
 	var routes []*config.Route
 	for _, kind := range []string{"safe", "unsafe", "cached"} {
 		routes = append(routes, &config.Route{Name: kind, HostName: "a.example", PathPrefix: "/" + kind + "/", RouteKind: kind, TimeoutMs: 400, Service: "s", Attempts: 3, CacheLifetimeS: 60})
 	}
 	h := New(Options{PartialResponseAfter: 0.9, GiveUpAfter: 0.97, WriteTimeout: 2 * time.Second, OverloadFactor: 50}, guide)
-	h.SetSnapshot(&Snapshot{RouteTable: routing.Compile(&config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: routes}, routing.Limits{Header: 1 << 14, Body: 1 << 22})})
+	h.SetSnapshot(&Snapshot{RouteTable: routing.Compile(&config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: routes}, routing.Limits{HeaderBytes: 1 << 14, BodyBytes: 1 << 22})})
 	ln, err := transport.Listen("127.0.0.1:0", time.Second, time.Second, nil)
 	if err != nil {
 		t.Fatal("no listener")
--- a/internal/frontend/cached.go
+++ b/internal/frontend/cached.go
@@ -151,11 +151,11 @@
 // cached serves a request on a cached route from a copy.
 func (h *Handler) cached(v *visit) bool {
 	p, r := h.pantry, v.route
-	service := r.Pick(point(v.req.Host + v.req.Target))
+	service := r.PickService(point(v.req.Host + v.req.Target))
 	key := cache.Key(v.req.Host, v.req.Target)
 	again := v.spent > 0
 	for tries := 0; ; tries++ {
-		c, fl, first := p.get(key, r.Lifetime, r.Sends)
+		c, fl, first := p.get(key, r.CacheLifetime, r.SplitsTo)
 		if c != nil {
 			return h.fromCopy(v, c)
 		}
@@ -164,8 +164,8 @@
 			return h.refuse(v, 503, "no answer in time")
 		}
 		if first {
-			w := FetchRequest{Host: v.req.Host, Target: v.req.Target, Service: service, Weight: weight(r.Priority), TimeLeft: left, TargetLatency: r.Target, IsRetry: again}
-			go func() { p.end(key, fl, p.bringer.Fetch(w), r.Lifetime) }()
+			w := FetchRequest{Host: v.req.Host, Target: v.req.Target, Service: service, Weight: weight(r.Priority), TimeLeft: left, TargetLatency: r.TargetLatency, IsRetry: again}
+			go func() { p.end(key, fl, p.bringer.Fetch(w), r.CacheLifetime) }()
 		}
 		t := time.NewTimer(left)
 		select {
@@ -179,9 +179,9 @@
 		}
 		got := fl.got
 		switch {
-		case got.Object != nil && p.Usable(got.Object, max(r.Lifetime, 0), r.Sends):
+		case got.Object != nil && p.Usable(got.Object, max(r.CacheLifetime, 0), r.SplitsTo):
 			return h.fromCopy(v, got.Object)
-		case got.Object != nil && r.Lifetime <= 0:
+		case got.Object != nil && r.CacheLifetime <= 0:
 			// Not to be kept, but fetched for those who asked.
 			return h.fromCopy(v, got.Object)
 		case got.Object != nil:
@@ -197,7 +197,7 @@
 			v.c.SetStatusCode(503)
 			v.c.Response.SetBodyString("the object can't be fetched now\n")
 			return false
-		case got.Status == 504 && !first && time.Until(v.times.Hard) > r.Target/8:
+		case got.Status == 504 && !first && time.Until(v.times.Hard) > r.TargetLatency/8:
 			// Whoever asked had less time than this one.
 			continue
 		}
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -21,7 +21,7 @@
 // Snapshot is what a request is pinned to: one configuration and the slots
 // of its cut. It is never changed.
 type Snapshot struct {
-	RouteTable *routing.Map
+	RouteTable *routing.Table
 	// Holders names, for each shard of the cut and version of its searchers,
 	// those with a slot.
 	Holders map[string]map[string][]string
@@ -31,7 +31,7 @@
 
 // leg is the part of a gathered request that goes to a shard: to its holders
 // and to nobody else, even where there are none.
-func (s *Snapshot) leg(shard string, w rollout.Way) *scatter.Leg {
+func (s *Snapshot) leg(shard string, w rollout.Way) *scatter.ShardRequest {
 	return s.make(shard, w, func(version string) []string {
 		if l := s.Holders[shard][version]; l != nil {
 			return l
@@ -41,17 +41,17 @@
 }
 
 // alone is the one part of a request to a single service: any searcher will do.
-func (s *Snapshot) alone(service string, w rollout.Way) *scatter.Leg {
+func (s *Snapshot) alone(service string, w rollout.Way) *scatter.ShardRequest {
 	return s.make(service, w, func(string) []string { return nil })
 }
 
-func (s *Snapshot) make(service string, w rollout.Way, holders func(version string) []string) *scatter.Leg {
-	l := &scatter.Leg{Service: service, Version: w.Then, Holders: holders(w.Then)}
+func (s *Snapshot) make(service string, w rollout.Way, holders func(version string) []string) *scatter.ShardRequest {
+	l := &scatter.ShardRequest{Service: service, Version: w.Then, Holders: holders(w.Then)}
 	if w.Once != "" {
 		l.Canary = &upstream.Selector{Service: service, Version: w.Once, IDs: holders(w.Once)}
 	}
 	if w.Else != "" {
-		l.Else = &upstream.Selector{Service: service, Version: w.Else, IDs: holders(w.Else)}
+		l.Fallback = &upstream.Selector{Service: service, Version: w.Else, IDs: holders(w.Else)}
 	}
 	return l
 }
@@ -101,7 +101,7 @@
 // Handler serves clients.
 type Handler struct {
 	opt   Options
-	guide *scatter.Guide
+	guide *scatter.Gatherer
 	now   atomic.Pointer[Snapshot]
 	leave atomic.Bool
 	// ending is closed when a leaving node answers what still waits here.
@@ -120,7 +120,7 @@
 }
 
 // New makes a head without a snapshot; until it has one it refuses.
-func New(o Options, g *scatter.Guide) *Handler {
+func New(o Options, g *scatter.Gatherer) *Handler {
 	h := &Handler{opt: o, guide: g, first: make(chan struct{}), ending: make(chan struct{})}
 	h.chain = []filter{h.pin, h.bound, h.read, h.route, h.times, h.serve}
 	return h
@@ -152,7 +152,7 @@
 	snap  *Snapshot
 	req   *upstream.Request
 	route *routing.Route
-	times scatter.Times
+	times scatter.Deadlines
 	// spent is how long ago, as far as is known, the client first asked.
 	spent time.Duration
 	// last: the connection ends with this answer.
@@ -176,13 +176,13 @@
 		c.SetConnectionClose()
 	} else if v.snap != nil {
 		// The client must not come just when the node closes.
-		if s := int(v.snap.RouteTable.Limits.Idle / time.Second); s > 1 {
+		if s := int(v.snap.RouteTable.Limits.IdleTimeout / time.Second); s > 1 {
 			c.Response.Header.Set("Keep-Alive", "timeout="+strconv.Itoa(s-1))
 		}
 	}
 	// A long answer over a slow link may take as long as its client waits; a
 	// peer that is gone is noticed sooner, by the connection itself.
-	_ = c.GetConn().SetWriteTimeout(max(h.opt.WriteTimeout, time.Until(v.times.Until)))
+	_ = c.GetConn().SetWriteTimeout(max(h.opt.WriteTimeout, time.Until(v.times.ShardDeadline)))
 }
 
 func (h *Handler) refuse(v *visit, status int, why string) bool {
@@ -192,7 +192,7 @@
 	if status == 503 || status == 429 {
 		target := 100 * time.Millisecond
 		if v.route != nil {
-			target = v.route.Target
+			target = v.route.TargetLatency
 		}
 		h.retryAfter(v, target)
 	}
@@ -226,11 +226,11 @@
 // bound keeps clients within the operator's limits.
 func (h *Handler) bound(v *visit) bool {
 	l := v.snap.RouteTable.Limits
-	if len(v.c.Request.Header.RawHeaders())+len(v.c.Request.Header.RequestURI()) > l.Header {
+	if len(v.c.Request.Header.RawHeaders())+len(v.c.Request.Header.RequestURI()) > l.HeaderBytes {
 		v.last = true
 		return h.refuse(v, 431, "headers too large")
 	}
-	if len(v.c.Request.Body()) > l.Body {
+	if len(v.c.Request.Body()) > l.BodyBytes {
 		v.last = true
 		return h.refuse(v, 413, "body too large")
 	}
@@ -255,7 +255,7 @@
 	if v.route = v.snap.RouteTable.Match(v.req.Host, v.req.Target); v.route == nil {
 		return h.refuse(v, 404, "no route")
 	}
-	v.req.Route, v.req.LatencyTarget = v.route.Name, v.route.Target
+	v.req.Route, v.req.LatencyTarget = v.route.Name, v.route.TargetLatency
 	return true
 }
 
@@ -269,15 +269,15 @@
 		// Never offered to a searcher: 503 says so, 504 would not.
 		return h.refuse(v, 503, "no time left")
 	}
-	soft := time.Duration(float64(v.route.Target) * h.opt.PartialResponseAfter)
+	soft := time.Duration(float64(v.route.TargetLatency) * h.opt.PartialResponseAfter)
 	if v.spent = h.since(v); v.spent < soft {
 		soft -= v.spent
 	}
-	v.times = scatter.Times{
-		Start: v.start, Target: v.route.Target,
-		Soft:  v.start.Add(soft),
-		Hard:  v.start.Add(time.Duration(float64(limit) * h.opt.GiveUpAfter)),
-		Until: v.start.Add(limit),
+	v.times = scatter.Deadlines{
+		Start: v.start, Target: v.route.TargetLatency,
+		Soft:          v.start.Add(soft),
+		Hard:          v.start.Add(time.Duration(float64(limit) * h.opt.GiveUpAfter)),
+		ShardDeadline: v.start.Add(limit),
 	}
 	return true
 }
@@ -301,40 +301,40 @@
 // serve sends the request on and answers.
 func (h *Handler) serve(v *visit) bool {
 	r := v.route
-	if r.Cached && h.pantry != nil && (v.req.Method == "GET" || v.req.Method == "HEAD") && !v.req.HasBody() {
+	if r.Cacheable && h.pantry != nil && (v.req.Method == "GET" || v.req.Method == "HEAD") && !v.req.HasBody() {
 		return h.cached(v)
 	}
-	terms := scatter.Terms{Attempts: r.Attempts, Safe: r.Safe, Need: 1, Late: h.opt.LateResponseValue}
-	var legs []*scatter.Leg
-	if len(r.Gathered) > 0 {
-		terms.Need = r.Share
-		for _, s := range r.Gathered {
+	terms := scatter.Policy{MaxAttempts: r.MaxAttempts, Idempotent: r.Idempotent, MinShare: 1, LateValue: h.opt.LateResponseValue}
+	var legs []*scatter.ShardRequest
+	if len(r.Shards) > 0 {
+		terms.MinShare = r.MinShare
+		for _, s := range r.Shards {
 			legs = append(legs, v.snap.leg(s, h.way(v.snap, s)))
 		}
 	} else {
-		s := r.Pick(rand.Float64())
-		legs = []*scatter.Leg{v.snap.alone(s, h.way(v.snap, s))}
+		s := r.PickService(rand.Float64())
+		legs = []*scatter.ShardRequest{v.snap.alone(s, h.way(v.snap, s))}
 	}
 	// The lower a request's priority, the sooner it is refused; one that is
 	// late already makes room for those that can be in time.
 	factor := h.opt.OverloadFactor * (1 - 0.15*float64(min(r.Priority, 4)))
-	if v.spent >= r.Target {
+	if v.spent >= r.TargetLatency {
 		factor *= h.opt.LateResponseValue
 	}
 	if h.crowded(legs, factor) {
 		return h.refuse(v, 503, "all searchers are busy")
 	}
-	p := scatter.NewParty(terms, legs)
-	ok := h.guide.Run(p, v.req, v.times, h.across(v))
+	p := scatter.NewQuery(terms, legs)
+	ok := h.guide.Gather(p, v.req, v.times, h.across(v))
 	defer p.Release()
 	switch {
-	case ok && len(r.Gathered) > 0:
+	case ok && len(r.Shards) > 0:
 		h.answerGathered(v, p)
 	case ok:
-		h.pass(v, &p.Legs[0].Good)
-	case len(r.Gathered) == 0 && p.Legs[0].Passes():
-		h.pass(v, &p.Legs[0].Last)
-	case !p.Ran():
+		h.pass(v, &p.Shards[0].Answer)
+	case len(r.Shards) == 0 && p.Shards[0].CanForwardFailure():
+		h.pass(v, &p.Shards[0].Failure)
+	case !p.MayHaveRun():
 		h.refuse(v, 503, "no searcher can take this now")
 	case !time.Now().Before(v.times.Hard):
 		h.refuse(v, 504, "no answer in time")
@@ -347,10 +347,10 @@
 // crowded tells whether more than half of the legs would wait in a long
 // queue, that is behind more than factor times the slots. Then the request is
 // better refused before anything of it runs.
-func (h *Handler) crowded(legs []*scatter.Leg, factor float64) bool {
+func (h *Handler) crowded(legs []*scatter.ShardRequest, factor float64) bool {
 	n := 0
 	for _, l := range legs {
-		if h.guide.Range.Overloaded(l.Among(), factor) {
+		if h.guide.Upstream.Overloaded(l.Among(), factor) {
 			n++
 		}
 	}
@@ -384,32 +384,32 @@
 	out.SetBodyRaw(append([]byte(nil), o.Response.Body()...))
 	if out.StatusCode() == 503 || out.StatusCode() == 429 {
 		if len(out.Header.Peek("Retry-After")) == 0 {
-			h.retryAfter(v, v.route.Target)
+			h.retryAfter(v, v.route.TargetLatency)
 		}
 	}
 }
 
 // answerGathered merges the parts that are in.
-func (h *Handler) answerGathered(v *visit, p *scatter.Party) {
+func (h *Handler) answerGathered(v *visit, p *scatter.Query) {
 	var bodies [][]byte
-	stamps := make([]byte, 0, 40*len(p.Legs))
-	for _, l := range p.Legs {
-		if !l.Done {
+	stamps := make([]byte, 0, 40*len(p.Shards))
+	for _, l := range p.Shards {
+		if !l.Answered {
 			continue
 		}
-		bodies = append(bodies, l.Good.Records())
+		bodies = append(bodies, l.Answer.Records())
 		if len(stamps) > 0 {
 			stamps = append(stamps, ", "...)
 		}
-		stamps = append(stamps, l.Good.Stamp...)
+		stamps = append(stamps, l.Answer.Stamp...)
 	}
 	out := &v.c.Response
 	out.SetStatusCode(200)
 	out.Header.SetContentType("application/octet-stream")
 	out.Header.Set(upstream.HeaderPartStamps, string(stamps))
-	if missing := len(p.Legs) - p.Good(); missing > 0 {
+	if missing := len(p.Shards) - p.Answered(); missing > 0 {
 		out.Header.Set(upstream.HeaderMissingParts, strconv.Itoa(missing))
 	}
 	out.Header.Set(upstream.HeaderRequestID, v.req.ID)
-	out.SetBodyRaw(scatter.Merge(bodies, v.route.Top))
+	out.SetBodyRaw(scatter.Merge(bodies, v.route.TopRecords))
 }
--- a/internal/frontend/write_test.go
+++ b/internal/frontend/write_test.go
@@ -48,9 +48,9 @@
 func idleHead() *Handler {
 	conf := &config.Configuration{Version: 1, Services: []*config.Service{{Name: "s"}}, Routes: []*config.Route{
 		{Name: "r", HostName: "a.example", PathPrefix: "/", RouteKind: "safe", TimeoutMs: 6000, Service: "s", Attempts: 1}}}
-	guide := &scatter.Guide{Range: upstream.New(upstream.Options{TwoChoicesThreshold: 5, DecayTime: time.Second}), Ledger: ratelimit.New(ratelimit.Rules{Window: time.Second}, 0), Steady: func() time.Duration { return 0 }}
+	guide := &scatter.Gatherer{Upstream: upstream.New(upstream.Options{TwoChoicesThreshold: 5, DecayTime: time.Second}), RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Window: time.Second}, 0), Now: func() time.Duration { return 0 }}
 	h := New(Options{PartialResponseAfter: 0.9, GiveUpAfter: 0.97, WriteTimeout: 2 * time.Second, OverloadFactor: 2}, guide)
-	h.SetSnapshot(&Snapshot{RouteTable: routing.Compile(conf, routing.Limits{Header: 1 << 14, Body: 1 << 14})})
+	h.SetSnapshot(&Snapshot{RouteTable: routing.Compile(conf, routing.Limits{HeaderBytes: 1 << 14, BodyBytes: 1 << 14})})
 	return h
 }
 
--- a/internal/ratelimit/rations.go
+++ b/internal/ratelimit/rations.go
@@ -7,23 +7,23 @@
 
 const buckets = 20
 
-// Rules are the bounds as the settings give them.
-type Rules struct {
+// BudgetOptions are the bounds as the settings give them.
+type BudgetOptions struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Keep is the part of the budget that is used at most.
-	Keep float64
-	// Young is the part of its slack that a node may use before it has lived
+	// Utilization is the part of the budget that is used at most.
+	Utilization float64
+	// FirstWindowShare is the part of its slack that a node may use before it has lived
 	// for a window; later it uses the rest, so that two lives of a node within
 	// one window stay within its share.
-	Young float64
+	FirstWindowShare float64
 }
 
-// Ledger counts requests and further tries per service.
-type Ledger struct {
+// RetryBudget counts requests and further tries per service.
+type RetryBudget struct {
 	mu    sync.Mutex
-	rules Rules
+	rules BudgetOptions
 	born  time.Duration
 	share int
 	rows  map[string]*row
@@ -37,15 +37,15 @@
 	sumF    int32
 }
 
-// New starts a ledger at now (steady time).
-func New(r Rules, now time.Duration) *Ledger {
-	return &Ledger{rules: r, born: now, rows: map[string]*row{}}
+// NewRetryBudget starts a ledger at now (steady time).
+func NewRetryBudget(r BudgetOptions, now time.Duration) *RetryBudget {
+	return &RetryBudget{rules: r, born: now, rows: map[string]*row{}}
 }
 
 // SetNodes says how many nodes share the slack.
-func (l *Ledger) SetNodes(n int) { l.mu.Lock(); l.share = n; l.mu.Unlock() }
+func (l *RetryBudget) SetNodes(n int) { l.mu.Lock(); l.share = n; l.mu.Unlock() }
 
-func (l *Ledger) row(service string, now time.Duration) *row {
+func (l *RetryBudget) row(service string, now time.Duration) *row {
 	r := l.rows[service]
 	tick := int64(now / (l.rules.Window / buckets))
 	if r == nil {
@@ -65,8 +65,8 @@
 	return r
 }
 
-// Ask counts a request for a service.
-func (l *Ledger) Ask(service string, now time.Duration) {
+// Deposit counts a request for a service.
+func (l *RetryBudget) Deposit(service string, now time.Duration) {
 	l.mu.Lock()
 	r := l.row(service, now)
 	r.asked[r.at%buckets]++
@@ -74,21 +74,21 @@
 	l.mu.Unlock()
 }
 
-// Further asks for one further try and counts it where it is granted. What a
+// TryWithdraw asks for one further try and counts it where it is granted. What a
 // node's earlier life spent is unknown: it never spends the part of the young.
-func (l *Ledger) Further(service string, now time.Duration) bool {
+func (l *RetryBudget) TryWithdraw(service string, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.row(service, now)
 	allowed := l.rules.Ratio * float64(r.sumA)
 	if l.share > 0 {
-		part := 1 - l.rules.Young
+		part := 1 - l.rules.FirstWindowShare
 		if now-l.born <= l.rules.Window {
-			part = l.rules.Young
+			part = l.rules.FirstWindowShare
 		}
 		allowed += l.rules.Slack * part / float64(l.share)
 	}
-	if float64(r.sumF+1) > allowed*l.rules.Keep {
+	if float64(r.sumF+1) > allowed*l.rules.Utilization {
 		return false
 	}
 	r.further[r.at%buckets]++
--- a/internal/ratelimit/rations_test.go
+++ b/internal/ratelimit/rations_test.go
@@ -12,23 +12,23 @@
 	window := 10 * time.Second
 	for seed := uint64(1); seed <= 5; seed++ {
 		r := rand.New(rand.NewPCG(seed, 1))
-		rules := Rules{Ratio: ratio, Slack: slack, Window: window, Keep: 0.85, Young: 0.3}
-		nodes := make([]*Ledger, 9)
+		rules := BudgetOptions{Ratio: ratio, Slack: slack, Window: window, Utilization: 0.85, FirstWindowShare: 0.3}
+		nodes := make([]*RetryBudget, 9)
 		for i := range nodes {
-			nodes[i] = New(rules, 0)
+			nodes[i] = NewRetryBudget(rules, 0)
 			nodes[i].SetNodes(len(nodes))
 		}
 		var asked, further []time.Duration
 		for now := time.Duration(0); now < time.Minute; now += 4 * time.Millisecond {
 			i := r.IntN(len(nodes))
 			if r.IntN(900) == 0 {
-				nodes[i] = New(rules, now)
+				nodes[i] = NewRetryBudget(rules, now)
 				nodes[i].SetNodes(len(nodes))
 			}
-			nodes[i].Ask("s", now)
+			nodes[i].Deposit("s", now)
 			asked = append(asked, now)
 			for k := r.IntN(3); k > 0; k-- {
-				if nodes[i].Further("s", now) {
+				if nodes[i].TryWithdraw("s", now) {
 					further = append(further, now)
 				}
 			}
@@ -58,14 +58,14 @@
 
 // A life in its first window and the one before it share the node's slack.
 func TestLivesShareSlack(t *testing.T) {
-	rules := Rules{Ratio: 0.2, Slack: 10, Window: time.Second, Keep: 1, Young: 0.3}
-	spend := func(l *Ledger, now time.Duration) (n int) {
-		for l.Further("s", now) {
+	rules := BudgetOptions{Ratio: 0.2, Slack: 10, Window: time.Second, Utilization: 1, FirstWindowShare: 0.3}
+	spend := func(l *RetryBudget, now time.Duration) (n int) {
+		for l.TryWithdraw("s", now) {
 			n++
 		}
 		return n
 	}
-	l := New(rules, 0)
+	l := NewRetryBudget(rules, 0)
 	if spend(l, 0) != 0 {
 		t.Fatal("slack before it is known how many share it")
 	}
@@ -77,23 +77,23 @@
 		t.Fatalf("after a window it used %d of 10", n)
 	}
 	// Hundreds share it: each has still enough for a straggler in a window.
-	l = New(Rules{Ratio: 0.2, Slack: 630, Window: time.Second, Keep: 0.85, Young: 0.3}, 0)
+	l = NewRetryBudget(BudgetOptions{Ratio: 0.2, Slack: 630, Window: time.Second, Utilization: 0.85, FirstWindowShare: 0.3}, 0)
 	l.SetNodes(295)
 	for i := 0; i < 4; i++ {
-		l.Ask("s", 0)
+		l.Deposit("s", 0)
 	}
 	if n := spend(l, 0); n != 1 {
 		t.Fatalf("%d further tries for four requests of a young node among hundreds", n)
 	}
-	l = New(rules, 0)
+	l = NewRetryBudget(rules, 0)
 	for i := 0; i < 4; i++ {
-		l.Ask("u", 5*time.Second)
+		l.Deposit("u", 5*time.Second)
 	}
-	l2 := New(Rules{Ratio: 0.25, Window: time.Second, Keep: 1}, 0)
+	l2 := NewRetryBudget(BudgetOptions{Ratio: 0.25, Window: time.Second, Utilization: 1}, 0)
 	for i := 0; i < 4; i++ {
-		l2.Ask("u", 0)
+		l2.Deposit("u", 0)
 	}
-	if !l2.Further("u", 0) || l2.Further("u", 0) || l2.Further("u", 3*time.Second) {
+	if !l2.TryWithdraw("u", 0) || l2.TryWithdraw("u", 0) || l2.TryWithdraw("u", 3*time.Second) {
 		t.Fatal("the ratio is not kept, or old requests still count")
 	}
 }
@@ -103,27 +103,27 @@
 func TestCeiling(t *testing.T) {
 	const rate, window = 100.0, 5 * time.Second
 	var at []time.Duration
-	parts := []*Ceiling{{}, {}, {}, {}}
+	parts := []*TokenBucket{{}, {}, {}, {}}
 	for _, c := range parts {
-		c.Set(rate/4, 0.1, 0)
+		c.SetRate(rate/4, 0.1, 0)
 	}
 	if ok, wait := parts[0].Take(0); ok || wait <= 0 || wait > 40*time.Millisecond {
 		t.Fatalf("a node that just started has something saved up: %v %v", ok, wait)
 	}
-	if ok, wait := (&Ceiling{}).Take(time.Second); ok || wait >= 0 {
+	if ok, wait := (&TokenBucket{}).Take(time.Second); ok || wait >= 0 {
 		t.Fatal("a node without a part fetches")
 	}
 	for now := time.Duration(0); now < 30*time.Second; now += time.Millisecond {
 		if now == 7*time.Second { // one starts anew
-			parts[1] = &Ceiling{}
-			parts[1].Set(rate/4, 0.1, now)
+			parts[1] = &TokenBucket{}
+			parts[1].SetRate(rate/4, 0.1, now)
 		}
 		if now == 12*time.Second { // one is given up, the others take its part
-			parts[3].Set(0, 0.1, now)
+			parts[3].SetRate(0, 0.1, now)
 		}
 		if now == 14*time.Second {
 			for _, c := range parts[:3] {
-				c.Set(rate/3, 0.1, now)
+				c.SetRate(rate/3, 0.1, now)
 			}
 		}
 		for _, c := range parts {
--- a/internal/routing/fork.go
+++ b/internal/routing/fork.go
@@ -10,21 +10,21 @@
 
 // Route is one route, ready for use.
 type Route struct {
-	Name     string
-	Prefix   string
-	Safe     bool
-	Timeout  time.Duration
-	Target   time.Duration
-	Attempts int
-	Priority int
-	// Gathered lists the shards; where it is empty, Pick names the one service.
-	Gathered []string
-	Top      int
-	Share    float64
-	// Cached: answers may be kept for Lifetime, if that is above 0.
-	Cached   bool
-	Lifetime time.Duration
-	split    []weighted
+	Name          string
+	Prefix        string
+	Idempotent    bool
+	Timeout       time.Duration
+	TargetLatency time.Duration
+	MaxAttempts   int
+	Priority      int
+	// Shards lists the shards; where it is empty, Pick names the one service.
+	Shards     []string
+	TopRecords int
+	MinShare   float64
+	// Cacheable: answers may be kept for Lifetime, if that is above 0.
+	Cacheable     bool
+	CacheLifetime time.Duration
+	split         []weighted
 }
 
 type weighted struct {
@@ -32,8 +32,8 @@
 	upTo    float64
 }
 
-// Map is a whole configuration, ready for use. It is never changed.
-type Map struct {
+// Table is a whole configuration, ready for use. It is never changed.
+type Table struct {
 	Version  int64
 	Limits   Limits
 	Services map[string]*config.Service
@@ -42,26 +42,26 @@
 
 // Limits bound what clients may send.
 type Limits struct {
-	Header, Body  int
-	HeaderTimeout time.Duration
-	Idle          time.Duration
+	HeaderBytes, BodyBytes int
+	HeaderTimeout          time.Duration
+	IdleTimeout            time.Duration
 }
 
 // Compile makes a map of a checked configuration; def stands in for limits that are not given.
-func Compile(c *config.Configuration, def Limits) *Map {
-	m := &Map{Version: c.Version, Limits: def, Services: map[string]*config.Service{}, hosts: map[string][]*Route{}}
+func Compile(c *config.Configuration, def Limits) *Table {
+	m := &Table{Version: c.Version, Limits: def, Services: map[string]*config.Service{}, hosts: map[string][]*Route{}}
 	if l := c.Limits; l != nil {
 		if l.HeaderSizeBytes > 0 {
-			m.Limits.Header = int(l.HeaderSizeBytes)
+			m.Limits.HeaderBytes = int(l.HeaderSizeBytes)
 		}
 		if l.BodySizeBytes > 0 {
-			m.Limits.Body = int(l.BodySizeBytes)
+			m.Limits.BodyBytes = int(l.BodySizeBytes)
 		}
 		if l.HeaderTimeoutMs > 0 {
 			m.Limits.HeaderTimeout = config.Milliseconds(l.HeaderTimeoutMs, 1)
 		}
 		if l.IdleTimeoutMs > 0 {
-			m.Limits.Idle = config.Milliseconds(l.IdleTimeoutMs, 1)
+			m.Limits.IdleTimeout = config.Milliseconds(l.IdleTimeoutMs, 1)
 		}
 	}
 	for _, s := range c.Services {
@@ -69,14 +69,14 @@
 	}
 	for _, r := range c.Routes {
 		x := &Route{
-			Name: r.Name, Prefix: r.PathPrefix, Safe: r.RouteKind != config.RouteKindUnsafe, Cached: r.RouteKind == config.RouteKindCached,
-			Lifetime: config.Seconds(r.CacheLifetimeS, 1),
-			Timeout:  config.Milliseconds(r.TimeoutMs, 1), Target: config.Milliseconds(r.TargetLatencyMs, 1),
-			Attempts: max(1, int(r.Attempts)), Priority: int(r.Priority),
-			Gathered: r.GatheredServices, Top: int(r.TopRecords), Share: r.MinimumShare,
+			Name: r.Name, Prefix: r.PathPrefix, Idempotent: r.RouteKind != config.RouteKindUnsafe, Cacheable: r.RouteKind == config.RouteKindCached,
+			CacheLifetime: config.Seconds(r.CacheLifetimeS, 1),
+			Timeout:       config.Milliseconds(r.TimeoutMs, 1), TargetLatency: config.Milliseconds(r.TargetLatencyMs, 1),
+			MaxAttempts: max(1, int(r.Attempts)), Priority: int(r.Priority),
+			Shards: r.GatheredServices, TopRecords: int(r.TopRecords), MinShare: r.MinimumShare,
 		}
-		if x.Target <= 0 || x.Target > x.Timeout {
-			x.Target = x.Timeout
+		if x.TargetLatency <= 0 || x.TargetLatency > x.Timeout {
+			x.TargetLatency = x.Timeout
 		}
 		if r.Service != "" {
 			x.split = []weighted{{r.Service, 1}}
@@ -103,11 +103,11 @@
 }
 
 // Shards lists all shards that the map's gathered routes name, sorted.
-func (m *Map) Shards() []string {
+func (m *Table) Shards() []string {
 	seen := map[string]bool{}
 	for _, l := range m.hosts {
 		for _, r := range l {
-			for _, s := range r.Gathered {
+			for _, s := range r.Shards {
 				seen[s] = true
 			}
 		}
@@ -121,7 +121,7 @@
 }
 
 // Match finds the route for a Host header and a request's target; nil is 404.
-func (m *Map) Match(host, target string) *Route {
+func (m *Table) Match(host, target string) *Route {
 	path, _, _ := strings.Cut(target, "?")
 	l, ok := m.hosts[host]
 	if !ok {
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// Sends tells whether requests on the route may go to a service.
-func (r *Route) Sends(service string) bool {
+// SplitsTo tells whether requests on the route may go to a service.
+func (r *Route) SplitsTo(service string) bool {
 	for _, w := range r.split {
 		if w.service == service {
 			return true
@@ -149,8 +149,8 @@
 	return false
 }
 
-// Pick names the service for a point in [0, 1).
-func (r *Route) Pick(point float64) string {
+// PickService names the service for a point in [0, 1).
+func (r *Route) PickService(point float64) string {
 	for _, w := range r.split {
 		if point < w.upTo {
 			return w.service
--- a/internal/scatter/gather_test.go
+++ b/internal/scatter/gather_test.go
@@ -54,22 +54,22 @@
 	return o
 }
 
-func play(p **Party, f []string) error {
+func play(p **Query, f []string) error {
 	leg := func(s string) int { n, _ := strconv.Atoi(s); return n }
 	switch f[0] {
 	case "party": // party LEGS ATTEMPTS safe|unsafe NEED LATE
-		t := Terms{Attempts: leg(f[2]), Safe: f[3] == "safe"}
-		t.Need, _ = strconv.ParseFloat(f[4], 64)
-		t.Late, _ = strconv.ParseFloat(f[5], 64)
-		var legs []*Leg
+		t := Policy{MaxAttempts: leg(f[2]), Idempotent: f[3] == "safe"}
+		t.MinShare, _ = strconv.ParseFloat(f[4], 64)
+		t.LateValue, _ = strconv.ParseFloat(f[5], 64)
+		var legs []*ShardRequest
 		for i := 0; i < leg(f[1]); i++ {
-			legs = append(legs, &Leg{Service: fmt.Sprint("s", i)})
+			legs = append(legs, &ShardRequest{Service: fmt.Sprint("s", i)})
 		}
-		*p = NewParty(t, legs)
+		*p = NewQuery(t, legs)
 	case "go":
-		(*p).Launched(leg(f[1]), &upstream.Endpoint{})
+		(*p).OnSent(leg(f[1]), &upstream.Endpoint{})
 	case "nobody":
-		(*p).Launched(leg(f[1]), nil)
+		(*p).OnSent(leg(f[1]), nil)
 	case "group": // group LEGS STAMPS AGAIN ok|bad: "-" stands for a part that is not in
 		var legs []int
 		var stamps []string
@@ -79,15 +79,15 @@
 		for _, x := range strings.Split(f[2], ",") {
 			stamps = append(stamps, strings.TrimPrefix(x, "-"))
 		}
-		again, ok := (*p).HearGroup(legs, stamps, []byte("records"))
+		again, ok := (*p).OnRelayResult(legs, stamps, []byte("records"))
 		got := strings.Trim(strings.ReplaceAll(fmt.Sprint(again), " ", ","), "[]")
 		if got != strings.TrimPrefix(f[3], "-") || ok != (f[4] == "ok") {
 			return fmt.Errorf("again %q, ok %v", got, ok)
 		}
 	case "bodies": // bodies N: how many parts bring records
 		n := 0
-		for _, l := range (*p).Legs {
-			if l.Done && len(l.Good.Records()) > 0 {
+		for _, l := range (*p).Shards {
+			if l.Answered && len(l.Answer.Records()) > 0 {
 				n++
 			}
 		}
@@ -95,22 +95,22 @@
 			return fmt.Errorf("%d bodies", n)
 		}
 	case "passes": // passes LEG yes|no
-		if got := (*p).Legs[leg(f[1])].Passes(); got != (f[2] == "yes") {
+		if got := (*p).Shards[leg(f[1])].CanForwardFailure(); got != (f[2] == "yes") {
 			return fmt.Errorf("passes: %v", got)
 		}
 	case "gaveup":
-		(*p).GaveUp(leg(f[1]))
+		(*p).GiveUp(leg(f[1]))
 	case "hear": // hear LEG OUTCOME again|wait
-		step, _ := (*p).Hear(leg(f[1]), outcome(f[2]))
-		if (step == Again) != (f[3] == "again") {
+		step, _ := (*p).OnResult(leg(f[1]), outcome(f[2]))
+		if (step == Retry) != (f[3] == "again") {
 			return fmt.Errorf("step is %d", step)
 		}
 	case "may": // may LEG yes|no: a hedge
-		if got := (*p).MayTry(leg(f[1])); got != (f[2] == "yes") {
+		if got := (*p).MayAttempt(leg(f[1])); got != (f[2] == "yes") {
 			return fmt.Errorf("may: %v", got)
 		}
 	case "verdict": // verdict early|soft|hard open|success|failure
-		over, ok := (*p).Verdict(f[1] != "early", f[1] == "hard")
+		over, ok := (*p).Decide(f[1] != "early", f[1] == "hard")
 		got := "open"
 		if over {
 			got = map[bool]string{true: "success", false: "failure"}[ok]
@@ -126,7 +126,7 @@
 
 func TestTraces(t *testing.T) {
 	tracetest.Play(t, 8, func() func([]string) error {
-		var p *Party
+		var p *Query
 		return func(f []string) error { return play(&p, f) }
 	})
 }
--- a/internal/scatter/legs_test.go
+++ b/internal/scatter/legs_test.go
@@ -51,24 +51,24 @@
 	}
 	rng.SetTable(t)
 	born := time.Now()
-	g := &Guide{Range: rng, Ledger: ratelimit.New(ratelimit.Rules{Ratio: 1, Window: time.Second}, 0), Pool: pool, Steady: func() time.Duration { return time.Since(born) }, HedgeAt: 5}
+	g := &Gatherer{Upstream: rng, RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Ratio: 1, Window: time.Second}, 0), Workers: pool, Now: func() time.Duration { return time.Since(born) }, HedgeAfter: 5}
 	run := func(k int) {
-		var legs []*Leg
+		var legs []*ShardRequest
 		for i := range n {
-			legs = append(legs, &Leg{Service: fmt.Sprint("s", i)})
+			legs = append(legs, &ShardRequest{Service: fmt.Sprint("s", i)})
 		}
 		req, err := upstream.NewRequest("GET", "/x", []byte(fmt.Sprintf("Host: a\r\nSwiftswitch-Request-Id: r%d\r\n", k)), nil)
 		if err != nil {
 			b.Fatal(err)
 		}
 		now := time.Now()
-		p := NewParty(Terms{Attempts: 1, Safe: true, Need: 1}, legs)
-		if !g.Run(p, req, Times{Start: now, Target: time.Second, Soft: now.Add(9 * time.Second), Hard: now.Add(10 * time.Second), Until: now.Add(10 * time.Second)}, nil) {
-			b.Fatalf("%d of %d parts are in", p.Good(), n)
+		p := NewQuery(Policy{MaxAttempts: 1, Idempotent: true, MinShare: 1}, legs)
+		if !g.Gather(p, req, Deadlines{Start: now, Target: time.Second, Soft: now.Add(9 * time.Second), Hard: now.Add(10 * time.Second), ShardDeadline: now.Add(10 * time.Second)}, nil) {
+			b.Fatalf("%d of %d parts are in", p.Answered(), n)
 		}
 		var bodies [][]byte
-		for _, l := range p.Legs {
-			bodies = append(bodies, l.Good.Records())
+		for _, l := range p.Shards {
+			bodies = append(bodies, l.Answer.Records())
 		}
 		Merge(bodies, 20)
 		p.Release()
--- a/internal/scatter/run.go
+++ b/internal/scatter/run.go
@@ -8,36 +8,36 @@
 	"swiftswitch/internal/upstream"
 )
 
-// Guide carries parties out.
-type Guide struct {
-	Range  *upstream.Pool
-	Ledger *ratelimit.Ledger
-	Pool   *ants.Pool
-	// Steady is the node's steady clock.
-	Steady func() time.Duration
-	// HedgeAt is the part of the target after which a straggler gets company.
-	HedgeAt float64
+// Gatherer carries parties out.
+type Gatherer struct {
+	Upstream    *upstream.Pool
+	RetryBudget *ratelimit.RetryBudget
+	Workers     *ants.Pool
+	// Now is the node's steady clock.
+	Now func() time.Duration
+	// HedgeAfter is the part of the target after which a straggler gets company.
+	HedgeAfter float64
 }
 
-// Across asks a front in a zone for several legs of a request.
-type Across interface {
-	// Begin picks a front in the zone, or tells that there is none.
-	Begin(zone string) (call func(legs []int, wait time.Duration) (stamps []string, records []byte), ok bool)
+// Relay asks a front in a zone for several legs of a request.
+type Relay interface {
+	// Pick picks a front in the zone, or tells that there is none.
+	Pick(zone string) (call func(legs []int, wait time.Duration) (stamps []string, records []byte), ok bool)
 }
 
-// Times bound one request.
-type Times struct {
+// Deadlines bound one request.
+type Deadlines struct {
 	Start  time.Time
 	Target time.Duration
 	Soft   time.Time
 	Hard   time.Time
-	// Until is what searchers are told: losers run on until then.
-	Until time.Time
-	// Lent: another front counts this request, this one only helps.
-	Lent bool
+	// ShardDeadline is what searchers are told: losers run on until then.
+	ShardDeadline time.Time
+	// Relayed: another front counts this request, this one only helps.
+	Relayed bool
 }
 
-type heard struct {
+type result struct {
 	leg int
 	out upstream.Attempt
 	// group holds the legs of an answer by way of another front.
@@ -46,50 +46,50 @@
 	records []byte
 }
 
-// Run sends the request along every leg and returns when it is over. Tries
+// Gather sends the request along every leg and returns when it is over. Tries
 // that lost go on to their end on their own: a searcher at work is not broken off.
-func (g *Guide) Run(p *Party, r *upstream.Request, t Times, across Across) (success bool) {
-	n := len(p.Legs)
-	results := make(chan heard, n*p.Terms.Attempts)
+func (g *Gatherer) Gather(p *Query, r *upstream.Request, t Deadlines, across Relay) (success bool) {
+	n := len(p.Shards)
+	results := make(chan result, n*p.policy.MaxAttempts)
 	hedge := make([]time.Time, n)
-	at := g.HedgeAt
+	at := g.HedgeAfter
 	if n == 1 {
 		// The slowest of many is late far sooner than one alone.
-		at += aloneSlack
+		at += singleHedgeDelay
 	}
-	var far []farLeg
-	for i, l := range p.Legs {
-		if !t.Lent {
-			g.Ledger.Ask(l.Service, g.Steady())
+	var far []remoteShard
+	for i, l := range p.Shards {
+		if !t.Relayed {
+			g.RetryBudget.Deposit(l.Service, g.Now())
 		}
-		_, p90 := g.Range.LatencyPercentiles(l.Service)
+		_, p90 := g.Upstream.LatencyPercentiles(l.Service)
 		hedge[i] = t.Start.Add(max(p90, time.Duration(at*float64(t.Target))))
 		peer, start, canary := g.first(l, t.Target)
 		switch {
 		case canary:
 			g.send(p, i, peer, start, r, t, results)
 		case peer == nil && across == nil:
-			p.Launched(i, nil)
+			p.OnSent(i, nil)
 		case across != nil && (peer == nil || !peer.InLocalZone()):
-			far = append(far, farLeg{i, peer, start})
+			far = append(far, remoteShard{i, peer, start})
 		default:
 			g.send(p, i, peer, start, r, t, results)
 		}
 	}
 	for _, i := range g.cross(p, far, across, r, t, results) {
 		// The front asked answers a little after its own wait; what it lacks goes out then.
-		hedge[i] = t.Start.Add(time.Duration((g.HedgeAt + crossSlack) * float64(t.Target)))
+		hedge[i] = t.Start.Add(time.Duration((g.HedgeAfter + relayHedgeDelay) * float64(t.Target)))
 	}
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	defer func() {
-		if out := p.outstanding(); out > 0 {
+		if out := p.inFlight(); out > 0 {
 			go drain(results, out)
 		}
 	}()
 	for {
 		now := time.Now()
-		over, ok := p.Verdict(!now.Before(t.Soft), !now.Before(t.Hard))
+		over, ok := p.Decide(!now.Before(t.Soft), !now.Before(t.Hard))
 		if over {
 			return ok
 		}
@@ -97,9 +97,9 @@
 		if now.Before(t.Soft) {
 			next = t.Soft
 		}
-		if p.Terms.Safe && p.Terms.Attempts > 1 {
-			for i := range p.Legs {
-				if !p.MayTry(i) || p.Legs[i].Out == 0 || hedge[i].IsZero() {
+		if p.policy.Idempotent && p.policy.MaxAttempts > 1 {
+			for i := range p.Shards {
+				if !p.MayAttempt(i) || p.Shards[i].inFlight == 0 || hedge[i].IsZero() {
 					continue
 				}
 				if now.Before(hedge[i]) {
@@ -124,9 +124,9 @@
 // first chooses whom a leg asks first. A new version on trial is reached
 // directly, however far it is: the front asked for the way across would count
 // it again.
-func (g *Guide) first(l *Leg, target time.Duration) (peer *upstream.Endpoint, start time.Time, canary bool) {
+func (g *Gatherer) first(l *ShardRequest, target time.Duration) (peer *upstream.Endpoint, start time.Time, canary bool) {
 	if l.Canary != nil {
-		if peer, start = g.Range.Pick(*l.Canary, nil, target, false); peer != nil {
+		if peer, start = g.Upstream.Pick(*l.Canary, nil, target, false); peer != nil {
 			return peer, start, true
 		}
 	}
@@ -136,24 +136,24 @@
 
 // choose picks among the leg's searchers, or where none of them can be asked
 // and others may be, among those.
-func (g *Guide) choose(l *Leg, not []*upstream.Endpoint, target time.Duration, spare bool) (*upstream.Endpoint, time.Time) {
-	peer, start := g.Range.Pick(l.Among(), not, target, spare)
-	if peer == nil && l.Else != nil {
-		return g.Range.Pick(*l.Else, not, target, spare)
+func (g *Gatherer) choose(l *ShardRequest, not []*upstream.Endpoint, target time.Duration, spare bool) (*upstream.Endpoint, time.Time) {
+	peer, start := g.Upstream.Pick(l.Among(), not, target, spare)
+	if peer == nil && l.Fallback != nil {
+		return g.Upstream.Pick(*l.Fallback, not, target, spare)
 	}
 	return peer, start
 }
 
-func (p *Party) outstanding() int {
+func (p *Query) inFlight() int {
 	n := 0
-	for _, l := range p.Legs {
-		n += l.Out
+	for _, l := range p.Shards {
+		n += l.inFlight
 	}
 	return n
 }
 
 // drain releases the answers of tries that lost.
-func drain(results chan heard, n int) {
+func drain(results chan result, n int) {
 	for n > 0 {
 		h := <-results
 		h.out.Release()
@@ -161,19 +161,19 @@
 	}
 }
 
-func (g *Guide) hear(p *Party, h heard, r *upstream.Request, t Times, results chan heard) {
+func (g *Gatherer) hear(p *Query, h result, r *upstream.Request, t Deadlines, results chan result) {
 	if h.group != nil {
-		again, _ := p.HearGroup(h.group, h.stamps, h.records)
+		again, _ := p.OnRelayResult(h.group, h.stamps, h.records)
 		for _, i := range again {
 			g.again(p, i, true, r, t, results)
 		}
 		return
 	}
-	step, kept := p.Hear(h.leg, h.out)
+	step, kept := p.OnResult(h.leg, h.out)
 	if !kept {
 		h.out.Release()
 	}
-	if step == Again {
+	if step == Retry {
 		g.again(p, h.leg, h.out.Outcome == upstream.OutcomeUnprocessed, r, t, results)
 	}
 }
@@ -182,26 +182,26 @@
 // grants it. As long as nothing went out, the next try is the first. Company
 // for a straggler, and a try after a full searcher, want one that is not full
 // itself: under load they would only add to it.
-func (g *Guide) again(p *Party, i int, spare bool, r *upstream.Request, t Times, results chan heard) {
-	l := p.Legs[i]
-	peer, start := g.choose(l, l.Tried, t.Target, spare)
-	if peer == nil && l.Lent {
+func (g *Gatherer) again(p *Query, i int, spare bool, r *upstream.Request, t Deadlines, results chan result) {
+	l := p.Shards[i]
+	peer, start := g.choose(l, l.attempted, t.Target, spare)
+	if peer == nil && l.relayed {
 		// Perhaps it was the other front that failed, not the searcher.
 		peer, start = g.choose(l, nil, t.Target, spare)
 	}
 	if peer == nil {
-		p.GaveUp(i)
+		p.GiveUp(i)
 		return
 	}
-	if (l.Sent || l.Out > 0) && !g.Ledger.Further(l.Service, g.Steady()) {
-		g.Range.CancelPick(peer, start)
-		p.GaveUp(i)
+	if (l.mayHaveArrived || l.inFlight > 0) && !g.RetryBudget.TryWithdraw(l.Service, g.Now()) {
+		g.Upstream.CancelPick(peer, start)
+		p.GiveUp(i)
 		return
 	}
 	g.send(p, i, peer, start, r, t, results)
 }
 
-type farLeg struct {
+type remoteShard struct {
 	leg   int
 	peer  *upstream.Endpoint
 	start time.Time
@@ -210,23 +210,23 @@
 // crossWait and crossSlack are parts of the target: how long the front asked
 // may wait for its parts, and how much later than others its legs get company.
 const (
-	crossWait  = 0.45
-	crossSlack = 0.15
-	// aloneSlack, a part of the target, is how much later the only leg of a request gets company.
-	aloneSlack = 0.15
+	relayWait       = 0.45
+	relayHedgeDelay = 0.15
+	// singleHedgeDelay, a part of the target, is how much later the only leg of a request gets company.
+	singleHedgeDelay = 0.15
 )
 
 // mostIn is the zone in which most of the legs have a searcher, two at least
 // unless one can't be reached from here; the order of a map's walk spreads the
 // load over equals.
-func (g *Guide) mostIn(p *Party, far []farLeg) string {
+func (g *Gatherer) mostIn(p *Query, far []remoteShard) string {
 	least := 2
 	count := map[string]int{}
 	for _, f := range far {
 		if f.peer == nil {
 			least = 1
 		}
-		for _, z := range g.Range.HealthyZones(p.Legs[f.leg].Among()) {
+		for _, z := range g.Upstream.HealthyZones(p.Shards[f.leg].Among()) {
 			count[z]++
 		}
 	}
@@ -235,7 +235,7 @@
 		if n >= least && n > count[most] {
 			most = z
 		}
-		if g.Range.Distance(z) < 2 && n >= least && n > count[close] {
+		if g.Upstream.Distance(z) < 2 && n >= least && n > count[close] {
 			close = z
 		}
 	}
@@ -249,38 +249,38 @@
 // cross sends the legs without a searcher in this zone: as many as possible
 // by way of one front in the zone that holds most of them, the rest directly.
 // It returns the legs that went with the front.
-func (g *Guide) cross(p *Party, far []farLeg, across Across, r *upstream.Request, t Times, results chan heard) []int {
+func (g *Gatherer) cross(p *Query, far []remoteShard, across Relay, r *upstream.Request, t Deadlines, results chan result) []int {
 	var group []int
 	if most := g.mostIn(p, far); most != "" {
-		if call, ok := across.Begin(most); ok {
-			var rest []farLeg
+		if call, ok := across.Pick(most); ok {
+			var rest []remoteShard
 			for _, f := range far {
-				l := p.Legs[f.leg]
-				peer := g.Range.HealthyInZone(l.Among(), most)
+				l := p.Shards[f.leg]
+				peer := g.Upstream.HealthyInZone(l.Among(), most)
 				if peer == nil {
 					rest = append(rest, f)
 					continue
 				}
 				if f.peer != nil {
-					g.Range.CancelPick(f.peer, f.start)
+					g.Upstream.CancelPick(f.peer, f.start)
 				}
-				p.Launched(f.leg, peer)
-				l.Lent = true
+				p.OnSent(f.leg, peer)
+				l.relayed = true
 				group = append(group, f.leg)
 			}
 			far = rest
 			job := func() {
-				stamps, records := call(group, time.Duration(crossWait*float64(t.Target)))
-				results <- heard{group: group, stamps: stamps, records: records}
+				stamps, records := call(group, time.Duration(relayWait*float64(t.Target)))
+				results <- result{group: group, stamps: stamps, records: records}
 			}
-			if g.Pool.Submit(job) != nil {
+			if g.Workers.Submit(job) != nil {
 				go job()
 			}
 		}
 	}
 	for _, f := range far {
 		if f.peer == nil {
-			p.Launched(f.leg, nil)
+			p.OnSent(f.leg, nil)
 			continue
 		}
 		g.send(p, f.leg, f.peer, f.start, r, t, results)
@@ -288,13 +288,13 @@
 	return group
 }
 
-func (g *Guide) send(p *Party, i int, peer *upstream.Endpoint, start time.Time, r *upstream.Request, t Times, results chan heard) {
-	p.Launched(i, peer)
-	err := g.Pool.Submit(func() {
-		results <- heard{leg: i, out: g.Range.Do(peer, r, start, t.Until)}
+func (g *Gatherer) send(p *Query, i int, peer *upstream.Endpoint, start time.Time, r *upstream.Request, t Deadlines, results chan result) {
+	p.OnSent(i, peer)
+	err := g.Workers.Submit(func() {
+		results <- result{leg: i, out: g.Upstream.Do(peer, r, start, t.ShardDeadline)}
 	})
 	if err != nil {
-		g.Range.CancelPick(peer, start)
-		results <- heard{leg: i, out: upstream.Attempt{Outcome: upstream.OutcomeUnsent, Endpoint: peer, Err: err}}
+		g.Upstream.CancelPick(peer, start)
+		results <- result{leg: i, out: upstream.Attempt{Outcome: upstream.OutcomeUnsent, Endpoint: peer, Err: err}}
 	}
 }
--- a/internal/shardmap/switchback.go
+++ b/internal/shardmap/switchback.go
@@ -9,23 +9,23 @@
 
 // Options are the defaults that may be changed.
 type Options struct {
-	// R is how many searchers hold a slot of one shard at most.
-	R int
-	// Least is how many loaded holders a shard wants where fewer than R searchers are there.
-	Least int
-	// Lease is how long a slot is held without a sign of life from its holder.
-	Lease time.Duration
-	// Wait is how long, after a cut was chosen, the old one may serve on.
-	Wait time.Duration
+	// SlotsPerShard is how many searchers hold a slot of one shard at most.
+	SlotsPerShard int
+	// MinReady is how many loaded holders a shard wants where fewer than R searchers are there.
+	MinReady int
+	// LeaseDuration is how long a slot is held without a sign of life from its holder.
+	LeaseDuration time.Duration
+	// SwitchWait is how long, after a cut was chosen, the old one may serve on.
+	SwitchWait time.Duration
 }
 
-// Cut is the shards that a version's gathered routes name.
-type Cut struct {
+// Layout is the shards that a version's gathered routes name.
+type Layout struct {
 	Version int64
 	Shards  []string
 }
 
-func (c Cut) same(o Cut) bool {
+func (c Layout) same(o Layout) bool {
 	if len(c.Shards) != len(o.Shards) {
 		return false
 	}
@@ -39,53 +39,53 @@
 
 // Slot is one searcher's hold on a shard.
 type Slot struct {
-	Searcher string
+	Endpoint string
 	Entry    int64
-	// Until is when the lease of a holder that fell silent ends.
-	Until time.Duration
-	// Full: the searcher's shard is loaded, as far as is known.
-	Full bool
+	// LeaseEnd is when the lease of a holder that fell silent ends.
+	LeaseEnd time.Duration
+	// Ready: the searcher's shard is loaded, as far as is known.
+	Ready bool
 }
 
-// Freed names a slot that was given up and why.
-type Freed struct {
-	Shard, Searcher, Why string
+// FreedSlot names a slot that was given up and why.
+type FreedSlot struct {
+	Shard, Endpoint, Reason string
 }
 
-// Board holds the pointers and the slots.
-type Board struct {
+// State holds the pointers and the slots.
+type State struct {
 	LastBuilt int64
-	Current   Cut
-	Next      *Cut
+	Current   Layout
+	Next      *Layout
 
-	opt      Options
-	deadline time.Duration
-	slots    map[hold][]Slot
+	options        Options
+	switchDeadline time.Duration
+	slots          map[slotKey][]Slot
 	// versions lists, for a service, the versions of its searchers that may
 	// hold slots, the one in force first; services it lacks make no difference.
 	versions map[string][]string
 	listed   map[string][]endpoints.Endpoint
-	full     map[string]bool
+	ready    map[string]bool
 	// silent searchers lost their slots; they stand last in line until they answer.
 	silent map[string]time.Duration
-	freed  []Freed
+	freed  []FreedSlot
 	// settled: since the slots were given last, nothing that they rest on has
 	// changed but the time.
 	settled bool
 }
 
-// hold names the slots of one shard for one version of its searchers.
-type hold struct{ shard, version string }
+// slotKey names the slots of one shard for one version of its searchers.
+type slotKey struct{ shard, version string }
 
 // New makes a board without a current cut.
-func New(o Options) *Board {
-	return &Board{opt: o, slots: map[hold][]Slot{}, listed: map[string][]endpoints.Endpoint{}, full: map[string]bool{}, silent: map[string]time.Duration{}}
+func New(o Options) *State {
+	return &State{options: o, slots: map[slotKey][]Slot{}, listed: map[string][]endpoints.Endpoint{}, ready: map[string]bool{}, silent: map[string]time.Duration{}}
 }
 
-// Built takes a chosen version with its cut; age is how long ago it was
+// OnBuilt takes a chosen version with its cut; age is how long ago it was
 // chosen. It returns true when that version comes into force at once: it is
 // the first, or its cut is the current one.
-func (b *Board) Built(c Cut, age, now time.Duration) bool {
+func (b *State) OnBuilt(c Layout, age, now time.Duration) bool {
 	if c.Version <= b.LastBuilt {
 		return false
 	}
@@ -95,21 +95,21 @@
 	b.LastBuilt = c.Version
 	if first || c.same(b.Current) {
 		b.Current, b.Next = c, nil
-		b.assign(now)
+		b.assignSlots(now)
 		return true
 	}
-	due := now + b.opt.Wait - age
-	if b.Next == nil || due < b.deadline {
+	due := now + b.options.SwitchWait - age
+	if b.Next == nil || due < b.switchDeadline {
 		// A cut that replaces a waiting one does not put the switch off.
-		b.deadline = due
+		b.switchDeadline = due
 	}
 	b.Next = &c
-	b.assign(now)
+	b.assignSlots(now)
 	return false
 }
 
-// Listed takes the platform's table.
-func (b *Board) Listed(t *endpoints.Table, now time.Duration) {
+// OnEndpoints takes the platform's table.
+func (b *State) OnEndpoints(t *endpoints.Table, now time.Duration) {
 	b.settled = false
 	b.listed = map[string][]endpoints.Endpoint{}
 	alive := map[string]bool{}
@@ -117,9 +117,9 @@
 		b.listed[s.Service] = append(b.listed[s.Service], s)
 		alive[s.ID] = true
 	}
-	for id := range b.full {
+	for id := range b.ready {
 		if !alive[id] {
-			delete(b.full, id)
+			delete(b.ready, id)
 		}
 	}
 	for id := range b.silent {
@@ -127,49 +127,49 @@
 			delete(b.silent, id)
 		}
 	}
-	b.assign(now)
+	b.assignSlots(now)
 }
 
 // SetVersions says which versions of services' searchers may hold slots. Each
 // has R of its own: searchers of a new version push none of the old one out.
-func (b *Board) SetVersions(v map[string][]string, now time.Duration) {
+func (b *State) SetVersions(v map[string][]string, now time.Duration) {
 	b.versions = v
 	b.settled = false
-	b.assign(now)
+	b.assignSlots(now)
 }
 
-// held lists the versions that hold slots of a shard, the one in force first;
+// slotVersions lists the versions that hold slots of a shard, the one in force first;
 // an empty one stands for any.
-func (b *Board) held(shard string) []string {
+func (b *State) slotVersions(shard string) []string {
 	if v := b.versions[shard]; len(v) > 0 {
 		return v
 	}
 	return []string{""}
 }
 
-// Answered notes a full answer of a searcher: it is loaded, and its lease is renewed.
-func (b *Board) Answered(id string, now time.Duration) {
-	b.full[id] = true
+// OnAnswer notes a full answer of a searcher: it is loaded, and its lease is renewed.
+func (b *State) OnAnswer(id string, now time.Duration) {
+	b.ready[id] = true
 	delete(b.silent, id)
 	for _, l := range b.slots {
 		for i := range l {
-			if l[i].Searcher == id {
-				l[i].Full, l[i].Until = true, now+b.opt.Lease
+			if l[i].Endpoint == id {
+				l[i].Ready, l[i].LeaseEnd = true, now+b.options.LeaseDuration
 			}
 		}
 	}
 }
 
-// Silent notes that a searcher stopped answering; its slot is free once the lease has ended.
-func (b *Board) Silent(id string, now time.Duration) {
+// OnSilent notes that a searcher stopped answering; its slot is free once the lease has ended.
+func (b *State) OnSilent(id string, now time.Duration) {
 	if _, known := b.silent[id]; known {
 		return
 	}
 	b.silent[id] = now
 	for _, l := range b.slots {
 		for i := range l {
-			if l[i].Searcher == id {
-				l[i].Until = now + b.opt.Lease
+			if l[i].Endpoint == id {
+				l[i].LeaseEnd = now + b.options.LeaseDuration
 			}
 		}
 	}
@@ -177,35 +177,35 @@
 
 // Tick ends leases and makes the switch when it is time for it. It returns
 // true when Next became Current; ready tells whether every slot was.
-func (b *Board) Tick(now time.Duration) (switched, ready bool) {
-	b.assign(now)
+func (b *State) Tick(now time.Duration) (switched, ready bool) {
+	b.assignSlots(now)
 	if b.Next == nil {
 		return false, false
 	}
 	ready = b.Ready(*b.Next)
-	if !ready && now < b.deadline {
+	if !ready && now < b.switchDeadline {
 		return false, false
 	}
 	b.Current, b.Next = *b.Next, nil
 	b.settled = false
-	b.assign(now)
+	b.assignSlots(now)
 	return true, ready
 }
 
 // Ready tells whether every shard of a cut has R holders that are loaded, or
 // as many as there are searchers, Least at any rate.
-func (b *Board) Ready(c Cut) bool {
+func (b *State) Ready(c Layout) bool {
 	for _, shard := range c.Shards {
-		there, version := 0, b.held(shard)[0]
+		there, version := 0, b.slotVersions(shard)[0]
 		for _, s := range b.listed[shard] {
 			if !s.Draining && (version == "" || s.Version == version) {
 				there++
 			}
 		}
-		want := min(b.opt.R, max(b.opt.Least, there))
+		want := min(b.options.SlotsPerShard, max(b.options.MinReady, there))
 		n := 0
-		for _, s := range b.slots[hold{shard, version}] {
-			if s.Full {
+		for _, s := range b.slots[slotKey{shard, version}] {
+			if s.Ready {
 				n++
 			}
 		}
@@ -216,16 +216,16 @@
 	return true
 }
 
-// Waiting lists the searchers of the next cut that hold a slot and are not known as loaded.
-func (b *Board) Waiting() []string {
+// Unready lists the searchers of the next cut that hold a slot and are not known as loaded.
+func (b *State) Unready() []string {
 	if b.Next == nil {
 		return nil
 	}
 	var out []string
 	for _, shard := range b.Next.Shards {
-		for _, s := range b.slots[hold{shard, b.held(shard)[0]}] {
-			if !s.Full {
-				out = append(out, s.Searcher)
+		for _, s := range b.slots[slotKey{shard, b.slotVersions(shard)[0]}] {
+			if !s.Ready {
+				out = append(out, s.Endpoint)
 			}
 		}
 	}
@@ -234,37 +234,39 @@
 
 // Holders lists the searchers that may take a query for a shard and belong to
 // the version in force.
-func (b *Board) Holders(shard string) []string { return b.HoldersOf(shard, b.held(shard)[0]) }
+func (b *State) Holders(shard string) []string {
+	return b.HoldersOfVersion(shard, b.slotVersions(shard)[0])
+}
 
-// HoldersOf lists those of a version.
-func (b *Board) HoldersOf(shard, version string) []string {
+// HoldersOfVersion lists those of a version.
+func (b *State) HoldersOfVersion(shard, version string) []string {
 	var out []string
-	for _, s := range b.slots[hold{shard, version}] {
-		out = append(out, s.Searcher)
+	for _, s := range b.slots[slotKey{shard, version}] {
+		out = append(out, s.Endpoint)
 	}
 	return out
 }
 
-// Held gives the holders of all versions that may hold slots of a shard.
-func (b *Board) Held(shard string) map[string][]string {
+// HoldersByVersion gives the holders of all versions that may hold slots of a shard.
+func (b *State) HoldersByVersion(shard string) map[string][]string {
 	out := map[string][]string{}
-	for _, v := range b.held(shard) {
-		out[v] = b.HoldersOf(shard, v)
+	for _, v := range b.slotVersions(shard) {
+		out[v] = b.HoldersOfVersion(shard, v)
 	}
 	return out
 }
 
 // TakeFreed gives the slots freed since the last call.
-func (b *Board) TakeFreed() []Freed {
+func (b *State) TakeFreed() []FreedSlot {
 	f := b.freed
 	b.freed = nil
 	return f
 }
 
-// assign gives each shard's slots to the first R searchers in the order of
+// assignSlots gives each shard's slots to the first R searchers in the order of
 // their entries. A holder that drains or is gone loses its slot at once; one
 // that fell silent when its lease has ended and a standby is there.
-func (b *Board) assign(now time.Duration) {
+func (b *State) assignSlots(now time.Duration) {
 	if b.settled && len(b.silent) == 0 {
 		return
 	}
@@ -278,10 +280,10 @@
 			shards[s] = true
 		}
 	}
-	holds := map[hold]bool{}
+	holds := map[slotKey]bool{}
 	for shard := range shards {
-		for _, v := range b.held(shard) {
-			holds[hold{shard, v}] = true
+		for _, v := range b.slotVersions(shard) {
+			holds[slotKey{shard, v}] = true
 		}
 	}
 	for h := range b.slots {
@@ -300,20 +302,20 @@
 		held := map[string]bool{}
 		var keep []Slot
 		for _, sl := range b.slots[at] {
-			s, ok := usable[sl.Searcher]
+			s, ok := usable[sl.Endpoint]
 			if !ok {
-				b.freed = append(b.freed, Freed{shard, sl.Searcher, "drains or gone"})
+				b.freed = append(b.freed, FreedSlot{shard, sl.Endpoint, "drains or gone"})
 				continue
 			}
-			if _, silent := b.silent[sl.Searcher]; silent && now >= sl.Until && len(usable) > b.opt.R {
-				b.freed = append(b.freed, Freed{shard, sl.Searcher, "lease ended"})
+			if _, silent := b.silent[sl.Endpoint]; silent && now >= sl.LeaseEnd && len(usable) > b.options.SlotsPerShard {
+				b.freed = append(b.freed, FreedSlot{shard, sl.Endpoint, "lease ended"})
 				continue
 			} else if !silent {
-				sl.Until = now + b.opt.Lease
+				sl.LeaseEnd = now + b.options.LeaseDuration
 			}
-			sl.Full = sl.Full || b.full[s.ID] || !s.WarmingUp
+			sl.Ready = sl.Ready || b.ready[s.ID] || !s.WarmingUp
 			keep = append(keep, sl)
-			held[sl.Searcher] = true
+			held[sl.Endpoint] = true
 		}
 		var line []endpoints.Endpoint
 		for id, s := range usable {
@@ -330,10 +332,10 @@
 			return line[i].Ordinal < line[j].Ordinal
 		})
 		for _, s := range line {
-			if len(keep) >= b.opt.R {
+			if len(keep) >= b.options.SlotsPerShard {
 				break
 			}
-			keep = append(keep, Slot{Searcher: s.ID, Entry: s.Ordinal, Until: now + b.opt.Lease, Full: b.full[s.ID] || !s.WarmingUp})
+			keep = append(keep, Slot{Endpoint: s.ID, Entry: s.Ordinal, LeaseEnd: now + b.options.LeaseDuration, Ready: b.ready[s.ID] || !s.WarmingUp})
 		}
 		b.slots[at] = keep
 	}
--- a/internal/shardmap/trace_test.go
+++ b/internal/shardmap/trace_test.go
@@ -12,7 +12,7 @@
 )
 
 // play follows a trace whose lines begin with the time in milliseconds.
-func play(b *Board, table **endpoints.Table, f []string) error {
+func play(b *State, table **endpoints.Table, f []string) error {
 	ms, err := strconv.Atoi(f[0])
 	if err != nil {
 		return err
@@ -32,11 +32,11 @@
 			}
 		}
 		*table, _ = endpoints.NextTable(*table, l, endpoints.Stamp{Epoch: 1, Sequence: int64(ms) + 1})
-		b.Listed(*table, now)
+		b.OnEndpoints(*table, now)
 	case "built": // built VERSION SHARDS AGE at-once|waits
 		v, _ := strconv.ParseInt(f[2], 10, 64)
 		age, _ := strconv.Atoi(f[4])
-		once := b.Built(Cut{Version: v, Shards: strings.Split(f[3], ",")}, time.Duration(age)*time.Millisecond, now)
+		once := b.OnBuilt(Layout{Version: v, Shards: strings.Split(f[3], ",")}, time.Duration(age)*time.Millisecond, now)
 		if once != (f[5] == "at-once") {
 			return fmt.Errorf("at once: %v", once)
 		}
@@ -48,7 +48,7 @@
 		}
 		b.SetVersions(m, now)
 	case "of": // of SHARD VERSION IDS
-		if got := strings.Join(b.HoldersOf(f[2], f[3]), ","); got != strings.Join(f[4:], "") {
+		if got := strings.Join(b.HoldersOfVersion(f[2], f[3]), ","); got != strings.Join(f[4:], "") {
 			return fmt.Errorf("holders of %s are %q", f[3], got)
 		}
 	case "tick": // tick stays|switches|switches-unready
@@ -64,9 +64,9 @@
 			return fmt.Errorf("it %s", got)
 		}
 	case "silent":
-		b.Silent(f[2], now)
+		b.OnSilent(f[2], now)
 	case "answered":
-		b.Answered(f[2], now)
+		b.OnAnswer(f[2], now)
 	case "holders": // holders SHARD IDS
 		want := ""
 		if len(f) > 3 {
@@ -91,7 +91,7 @@
 
 func TestTraces(t *testing.T) {
 	tracetest.Play(t, 7, func() func([]string) error {
-		b := New(Options{R: 2, Least: 2, Lease: time.Second, Wait: 1200 * time.Millisecond})
+		b := New(Options{SlotsPerShard: 2, MinReady: 2, LeaseDuration: time.Second, SwitchWait: 1200 * time.Millisecond})
 		var table *endpoints.Table
 		return func(f []string) error { return play(b, &table, f) }
 	})
