--- a/internal/control/table_controller.go
+++ b/internal/control/table_controller.go
@@ -103,11 +103,7 @@
 // table that is current then. A delta from another table than the current one
 // does not fit and changes nothing.
 func (t *tableController) applyDelta(d *endpoints.Delta) endpoints.Stamp {
-	from := t.current
-	if d.From == (endpoints.Stamp{}) {
-		from = nil
-	}
-	if received := from.ApplyDelta(d); received != nil {
+	if received, err := t.current.ApplyDelta(d); err == nil {
 		t.merge(received)
 	}
 	return t.stamp()
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -44,7 +44,9 @@
 					t.Errorf("what came can't be read: %v", err)
 					return
 				}
-				tables[i] = (*endpoints.Table)(nil).ApplyDelta(d)
+				if tables[i], err = (*endpoints.Table)(nil).ApplyDelta(d); err != nil {
+					t.Errorf("the first table: %v", err)
+				}
 			}()
 		}
 		wg.Wait()
--- a/internal/endpoints/delta.go
+++ b/internal/endpoints/delta.go
@@ -1,10 +1,15 @@
 package endpoints
 
 import (
+	"errors"
 	"maps"
 	"slices"
 )
 
+// ErrDeltaBase is returned where a delta does not start from the table that it
+// is applied to. A snapshot is needed then.
+var ErrDeltaBase = errors.New("endpoints: delta starts from another table")
+
 // Delta is what changed from one table to another. A delta from the zero stamp
 // is a snapshot: it holds the whole table.
 type Delta struct {
@@ -86,15 +91,15 @@
 	}
 }
 
-// ApplyDelta returns the table that the delta leads to from t, which may be nil and
-// is not changed. A snapshot applies to any table. It returns nil where the
-// delta starts from another table.
-func (t *Table) ApplyDelta(d *Delta) *Table {
+// ApplyDelta returns the table that the delta leads to from t, which may be nil
+// and is not changed. A snapshot applies to any table; another delta that does
+// not start from t is refused with ErrDeltaBase.
+func (t *Table) ApplyDelta(d *Delta) (*Table, error) {
 	if t == nil || d.From == (Stamp{}) {
 		t = &Table{}
 	}
 	if t.Stamp != d.From {
-		return nil
+		return nil, ErrDeltaBase
 	}
 	next := &Table{Stamp: d.To, NextOrdinal: d.NextOrdinal, InitialVersions: maps.Clone(t.InitialVersions)}
 	if next.InitialVersions == nil {
@@ -122,7 +127,7 @@
 		next.Endpoints = append(next.Endpoints, e)
 	}
 	sortByID(next.Endpoints)
-	return next
+	return next, nil
 }
 
 func ordinalSet(ordinals []int64) map[int64]bool {
--- a/internal/endpoints/delta_test.go
+++ b/internal/endpoints/delta_test.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"reflect"
@@ -16,11 +17,13 @@
 	if len(d.Upserts) != 2 || len(d.Removed) != 1 || len(d.Draining) != 1 || len(d.WarmedUp) != 1 {
 		t.Fatalf("%+v", d)
 	}
-	if got := a.ApplyDelta(d); !reflect.DeepEqual(got, b) {
-		t.Fatalf("%+v", got)
+	if got, err := a.ApplyDelta(d); err != nil || !reflect.DeepEqual(got, b) {
+		t.Fatalf("%+v, %v", got, err)
 	}
-	if b.ApplyDelta(d) != nil || (*Table)(nil).ApplyDelta(d) != nil {
-		t.Fatal("a delta was applied to another table")
+	for _, other := range []*Table{b, nil} {
+		if got, err := other.ApplyDelta(d); got != nil || !errors.Is(err, ErrDeltaBase) {
+			t.Errorf("a delta was applied to another table: %+v, %v", got, err)
+		}
 	}
 }
 
@@ -30,8 +33,8 @@
 	snapshot := Diff(nil, b)
 	for name, base := range map[string]*Table{"no table": nil, "another table": a, "the same table": b} {
 		t.Run(name, func(t *testing.T) {
-			if got := base.ApplyDelta(snapshot); !reflect.DeepEqual(got, b) {
-				t.Errorf("got %+v", got)
+			if got, err := base.ApplyDelta(snapshot); err != nil || !reflect.DeepEqual(got, b) {
+				t.Errorf("got %+v, %v", got, err)
 			}
 		})
 	}
@@ -47,8 +50,8 @@
 				if from == nil && to == nil {
 					continue
 				}
-				if got := from.ApplyDelta(Diff(from, to)); !reflect.DeepEqual(got, to) {
-					t.Fatalf("seed %d:\nfrom %+v\nto   %+v\ngot  %+v", seed, from, to, got)
+				if got, err := from.ApplyDelta(Diff(from, to)); err != nil || !reflect.DeepEqual(got, to) {
+					t.Fatalf("seed %d:\nfrom %+v\nto   %+v\ngot  %+v, %v", seed, from, to, got, err)
 				}
 			}
 		}
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -375,11 +375,7 @@
 		t.endpoints.SetFrontCounts(most)
 	}
 	if d != nil && (t.table == nil || t.table.Stamp.Before(d.To)) {
-		from := t.table
-		if d.From == (endpoints.Stamp{}) {
-			from = nil
-		}
-		if table := from.ApplyDelta(d); table != nil {
+		if table, err := t.table.ApplyDelta(d); err == nil {
 			t.setTable(table)
 		}
 	}
