--- a/internal/frontend/across.go
+++ b/internal/frontend/across.go
@@ -83,7 +83,7 @@
 	wait := min(left, time.Duration(a.WaitMs)*time.Millisecond)
 	p := scatter.NewQuery(scatter.Policy{MaxAttempts: 1, Idempotent: true}, legs)
 	defer p.Release()
-	h.guide.Gather(p, req, scatter.Deadlines{Start: start, Target: route.TargetLatency, Soft: start.Add(wait), Hard: start.Add(wait), ShardDeadline: start.Add(left), Relayed: true}, nil)
+	h.guide.Gather(p, req, scatter.Deadlines{Start: start, TargetLatency: route.TargetLatency, SoftDeadline: start.Add(wait), HardDeadline: start.Add(wait), ShardDeadline: start.Add(left), Relayed: true}, nil)
 	say := relay.Response{Stamps: make([]string, len(legs))}
 	var bodies [][]byte
 	for k, l := range legs {
--- a/internal/frontend/cached.go
+++ b/internal/frontend/cached.go
@@ -159,7 +159,7 @@
 		if c != nil {
 			return h.fromCopy(v, c)
 		}
-		left := time.Until(v.times.Hard)
+		left := time.Until(v.times.HardDeadline)
 		if left <= 0 || tries >= 4 {
 			return h.refuse(v, 503, "no answer in time")
 		}
@@ -197,7 +197,7 @@
 			v.c.SetStatusCode(503)
 			v.c.Response.SetBodyString("the object can't be fetched now\n")
 			return false
-		case got.Status == 504 && !first && time.Until(v.times.Hard) > r.TargetLatency/8:
+		case got.Status == 504 && !first && time.Until(v.times.HardDeadline) > r.TargetLatency/8:
 			// Whoever asked had less time than this one.
 			continue
 		}
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -274,9 +274,9 @@
 		soft -= v.spent
 	}
 	v.times = scatter.Deadlines{
-		Start: v.start, Target: v.route.TargetLatency,
-		Soft:          v.start.Add(soft),
-		Hard:          v.start.Add(time.Duration(float64(limit) * h.opt.GiveUpAfter)),
+		Start: v.start, TargetLatency: v.route.TargetLatency,
+		SoftDeadline:  v.start.Add(soft),
+		HardDeadline:  v.start.Add(time.Duration(float64(limit) * h.opt.GiveUpAfter)),
 		ShardDeadline: v.start.Add(limit),
 	}
 	return true
@@ -304,7 +304,7 @@
 	if r.Cacheable && h.pantry != nil && (v.req.Method == "GET" || v.req.Method == "HEAD") && !v.req.HasBody() {
 		return h.cached(v)
 	}
-	terms := scatter.Policy{MaxAttempts: r.MaxAttempts, Idempotent: r.Idempotent, MinShare: 1, LateValue: h.opt.LateResponseValue}
+	terms := scatter.Policy{MaxAttempts: r.MaxAttempts, Idempotent: r.Idempotent, MinShare: 1, LateResponseValue: h.opt.LateResponseValue}
 	var legs []*scatter.ShardRequest
 	if len(r.Shards) > 0 {
 		terms.MinShare = r.MinShare
@@ -333,10 +333,10 @@
 	case ok:
 		h.pass(v, &p.Shards[0].Answer)
 	case len(r.Shards) == 0 && p.Shards[0].CanForwardFailure():
-		h.pass(v, &p.Shards[0].Failure)
+		h.pass(v, &p.Shards[0].LastFailure)
 	case !p.MayHaveRun():
 		h.refuse(v, 503, "no searcher can take this now")
-	case !time.Now().Before(v.times.Hard):
+	case !time.Now().Before(v.times.HardDeadline):
 		h.refuse(v, 504, "no answer in time")
 	default:
 		h.refuse(v, 502, "no whole answer")
@@ -350,7 +350,7 @@
 func (h *Handler) crowded(legs []*scatter.ShardRequest, factor float64) bool {
 	n := 0
 	for _, l := range legs {
-		if h.guide.Upstream.Overloaded(l.Among(), factor) {
+		if h.guide.Upstream.Overloaded(l.Selector(), factor) {
 			n++
 		}
 	}
--- a/internal/scatter/gather_test.go
+++ b/internal/scatter/gather_test.go
@@ -60,7 +60,7 @@
 	case "party": // party LEGS ATTEMPTS safe|unsafe NEED LATE
 		t := Policy{MaxAttempts: leg(f[2]), Idempotent: f[3] == "safe"}
 		t.MinShare, _ = strconv.ParseFloat(f[4], 64)
-		t.LateValue, _ = strconv.ParseFloat(f[5], 64)
+		t.LateResponseValue, _ = strconv.ParseFloat(f[5], 64)
 		var legs []*ShardRequest
 		for i := 0; i < leg(f[1]); i++ {
 			legs = append(legs, &ShardRequest{Service: fmt.Sprint("s", i)})
--- a/internal/scatter/legs_test.go
+++ b/internal/scatter/legs_test.go
@@ -63,7 +63,7 @@
 		}
 		now := time.Now()
 		p := NewQuery(Policy{MaxAttempts: 1, Idempotent: true, MinShare: 1}, legs)
-		if !g.Gather(p, req, Deadlines{Start: now, Target: time.Second, Soft: now.Add(9 * time.Second), Hard: now.Add(10 * time.Second), ShardDeadline: now.Add(10 * time.Second)}, nil) {
+		if !g.Gather(p, req, Deadlines{Start: now, TargetLatency: time.Second, SoftDeadline: now.Add(9 * time.Second), HardDeadline: now.Add(10 * time.Second), ShardDeadline: now.Add(10 * time.Second)}, nil) {
 			b.Fatalf("%d of %d parts are in", p.Answered(), n)
 		}
 		var bodies [][]byte
--- a/internal/scatter/party.go
+++ b/internal/scatter/party.go
@@ -11,8 +11,8 @@
 	Idempotent bool
 	// MinShare is the share of the legs without which there is no success.
 	MinShare float64
-	// LateValue is what a late answer is worth beside one in time.
-	LateValue float64
+	// LateResponseValue is what a late answer is worth beside one in time.
+	LateResponseValue float64
 }
 
 // ShardRequest is the part of a request that goes to one service.
@@ -37,19 +37,19 @@
 	// mayHaveRun tells whether a try may have run without a usable answer.
 	mayHaveRun bool
 	Answer     upstream.Attempt
-	// Failure is the last answer that is no success.
-	Failure upstream.Attempt
+	// LastFailure is the last answer that is no success.
+	LastFailure upstream.Attempt
 }
 
-// Among names the searchers that the leg's tries go to.
-func (l *ShardRequest) Among() upstream.Selector {
+// Selector names the searchers that the leg's tries go to.
+func (l *ShardRequest) Selector() upstream.Selector {
 	return upstream.Selector{Service: l.Service, Version: l.Version, IDs: l.Holders}
 }
 
 // CanForwardFailure tells whether the last answer may be given back as it is: nothing is
 // under way, and no promise that nothing ran is made where something may have.
 func (l *ShardRequest) CanForwardFailure() bool {
-	return l.Failure.Response != nil && l.inFlight == 0 && !(l.mayHaveRun && l.Failure.Outcome == upstream.OutcomeUnprocessed)
+	return l.LastFailure.Response != nil && l.inFlight == 0 && !(l.mayHaveRun && l.LastFailure.Outcome == upstream.OutcomeUnprocessed)
 }
 
 // Action is what to do next for a leg.
@@ -125,8 +125,8 @@
 		l.mayHaveRun = true
 	}
 	if o.Response != nil && p.mayForward(&o) {
-		l.Failure.Release()
-		l.Failure, kept = o, true
+		l.LastFailure.Release()
+		l.LastFailure, kept = o, true
 	}
 	if o.Outcome == upstream.OutcomeAnswered && o.Status >= 300 && o.Status < 500 && len(p.Shards) == 1 {
 		// The searcher has decided: another would say the same.
@@ -232,7 +232,7 @@
 		return true, false
 	case soft && p.enough(p.answered):
 		s := p.Share()
-		return s*s >= p.policy.LateValue, true
+		return s*s >= p.policy.LateResponseValue, true
 	}
 	return false, false
 }
@@ -251,6 +251,6 @@
 func (p *Query) Release() {
 	for _, l := range p.Shards {
 		l.Answer.Release()
-		l.Failure.Release()
+		l.LastFailure.Release()
 	}
 }
--- a/internal/scatter/run.go
+++ b/internal/scatter/run.go
@@ -27,10 +27,10 @@
 
 // Deadlines bound one request.
 type Deadlines struct {
-	Start  time.Time
-	Target time.Duration
-	Soft   time.Time
-	Hard   time.Time
+	Start         time.Time
+	TargetLatency time.Duration
+	SoftDeadline  time.Time
+	HardDeadline  time.Time
 	// ShardDeadline is what searchers are told: losers run on until then.
 	ShardDeadline time.Time
 	// Relayed: another front counts this request, this one only helps.
@@ -63,8 +63,8 @@
 			g.RetryBudget.Deposit(l.Service, g.Now())
 		}
 		_, p90 := g.Upstream.LatencyPercentiles(l.Service)
-		hedge[i] = t.Start.Add(max(p90, time.Duration(at*float64(t.Target))))
-		peer, start, canary := g.first(l, t.Target)
+		hedge[i] = t.Start.Add(max(p90, time.Duration(at*float64(t.TargetLatency))))
+		peer, start, canary := g.first(l, t.TargetLatency)
 		switch {
 		case canary:
 			g.send(p, i, peer, start, r, t, results)
@@ -78,7 +78,7 @@
 	}
 	for _, i := range g.cross(p, far, across, r, t, results) {
 		// The front asked answers a little after its own wait; what it lacks goes out then.
-		hedge[i] = t.Start.Add(time.Duration((g.HedgeAfter + relayHedgeDelay) * float64(t.Target)))
+		hedge[i] = t.Start.Add(time.Duration((g.HedgeAfter + relayHedgeDelay) * float64(t.TargetLatency)))
 	}
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -89,13 +89,13 @@
 	}()
 	for {
 		now := time.Now()
-		over, ok := p.Decide(!now.Before(t.Soft), !now.Before(t.Hard))
+		over, ok := p.Decide(!now.Before(t.SoftDeadline), !now.Before(t.HardDeadline))
 		if over {
 			return ok
 		}
-		next := t.Hard
-		if now.Before(t.Soft) {
-			next = t.Soft
+		next := t.HardDeadline
+		if now.Before(t.SoftDeadline) {
+			next = t.SoftDeadline
 		}
 		if p.policy.Idempotent && p.policy.MaxAttempts > 1 {
 			for i := range p.Shards {
@@ -137,7 +137,7 @@
 // choose picks among the leg's searchers, or where none of them can be asked
 // and others may be, among those.
 func (g *Gatherer) choose(l *ShardRequest, not []*upstream.Endpoint, target time.Duration, spare bool) (*upstream.Endpoint, time.Time) {
-	peer, start := g.Upstream.Pick(l.Among(), not, target, spare)
+	peer, start := g.Upstream.Pick(l.Selector(), not, target, spare)
 	if peer == nil && l.Fallback != nil {
 		return g.Upstream.Pick(*l.Fallback, not, target, spare)
 	}
@@ -184,10 +184,10 @@
 // itself: under load they would only add to it.
 func (g *Gatherer) again(p *Query, i int, spare bool, r *upstream.Request, t Deadlines, results chan result) {
 	l := p.Shards[i]
-	peer, start := g.choose(l, l.attempted, t.Target, spare)
+	peer, start := g.choose(l, l.attempted, t.TargetLatency, spare)
 	if peer == nil && l.relayed {
 		// Perhaps it was the other front that failed, not the searcher.
-		peer, start = g.choose(l, nil, t.Target, spare)
+		peer, start = g.choose(l, nil, t.TargetLatency, spare)
 	}
 	if peer == nil {
 		p.GiveUp(i)
@@ -226,7 +226,7 @@
 		if f.peer == nil {
 			least = 1
 		}
-		for _, z := range g.Upstream.HealthyZones(p.Shards[f.leg].Among()) {
+		for _, z := range g.Upstream.HealthyZones(p.Shards[f.leg].Selector()) {
 			count[z]++
 		}
 	}
@@ -256,7 +256,7 @@
 			var rest []remoteShard
 			for _, f := range far {
 				l := p.Shards[f.leg]
-				peer := g.Upstream.HealthyInZone(l.Among(), most)
+				peer := g.Upstream.HealthyInZone(l.Selector(), most)
 				if peer == nil {
 					rest = append(rest, f)
 					continue
@@ -270,7 +270,7 @@
 			}
 			far = rest
 			job := func() {
-				stamps, records := call(group, time.Duration(relayWait*float64(t.Target)))
+				stamps, records := call(group, time.Duration(relayWait*float64(t.TargetLatency)))
 				results <- result{group: group, stamps: stamps, records: records}
 			}
 			if g.Workers.Submit(job) != nil {
