--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -68,8 +68,7 @@
 }
 
 func (h *Server) RolloutTotals() *nodeapi.RolloutTotals {
-	_, totals, _ := h.rolloutStep()
-	return totals
+	return h.rollouts.step().totals
 }
 
 var (
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -18,7 +18,7 @@
 	b.Ineligible = !h.pollLease.Eligible(h.host.Now())
 	b.FrontCount = h.frontCount
 	b.RosterRevision = h.frontRoster().Revision
-	b.ElapsedMs = h.rollouts.clock.Note(h.rolloutRunning, time.Now(), h.host.Now()).Spent
+	b.ElapsedMs = h.rollouts.elapsedTerms()
 	if h.tables.current != nil {
 		b.Stamp = h.tables.current.Stamp
 	}
@@ -33,11 +33,7 @@
 	h.onFrontCount(b.FrontCount, now)
 	h.pollLease.OnHeartbeat(b.ID, !b.Draining && !b.Ineligible, now)
 	h.pollLease.ObserveEpoch(b.Epoch, b.Holder)
-	for order, ms := range b.ElapsedMs {
-		if h.rolloutRunning(order) {
-			h.rollouts.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
-		}
-	}
+	h.rollouts.onElapsedTerms(b.ElapsedMs, now)
 	if r := h.peerRosters[b.IP]; r.Revision != b.RosterRevision && !r.fetching {
 		r.fetching = true
 		h.peerRosters[b.IP] = r
--- /dev/null
+++ b/internal/control/rollout_reports.go
@@ -0,0 +1,87 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	"swiftswitch/internal/nodeapi"
+	"swiftswitch/internal/rollout"
+)
+
+// evidenceTTL, in heartbeats, is how long the evidence of a front, or of another
+// control node, is used: longer than a front may stall.
+const evidenceTTL = 4
+
+// peerReport is what another control node sent about the fronts that report to
+// it: by order, how many of them don't know the order's current phase, and what
+// they have counted.
+type peerReport struct {
+	at       time.Duration
+	lagging  map[int64]int
+	evidence map[int64]rollout.Evidence
+}
+
+// frontReport is what a front has counted of each order since the order began.
+type frontReport struct {
+	at       time.Duration
+	evidence []rollout.FrontEvidence
+}
+
+// onReport adds a front's report to this node's totals, unless it came late or
+// twice. Runs on Server.loop.
+func (c *rolloutController) onReport(report nodeapi.RolloutReport) {
+	filter := c.reportFilters[report.Name]
+	if filter == nil {
+		filter = &rollout.ReportFilter{}
+		c.reportFilters[report.Name] = filter
+	}
+	if !filter.Accept(report.Incarnation, report.Seq) {
+		return
+	}
+	c.totals.Add(slices.DeleteFunc(report.Entries, func(e rollout.Entry) bool { return !c.isRunning(e.Order) }))
+	c.frontReports[report.Name] = frontReport{c.server.host.Now(), report.Evidence}
+}
+
+// onTotals takes the totals of another control node. Runs on Server.loop.
+func (c *rolloutController) onTotals(totals nodeapi.RolloutTotals) {
+	c.peerReports[totals.ID] = peerReport{c.server.host.Now(), totals.FrontsBehind, totals.Evidence}
+	c.evaluate(c.totals.Merge(totals.ID, totals.Incarnation, totals.Seq, totals.Entries))
+}
+
+// laggingFronts counts, by order, the fronts heard lately by this node that do
+// not know the order's current phase.
+func (c *rolloutController) laggingFronts() map[int64]int {
+	lagging := map[int64]int{}
+	now := c.server.host.Now()
+	for _, r := range c.running() {
+		for _, front := range c.server.fronts {
+			if front.rolloutSlot < r.Slot && now < front.overdueAt {
+				lagging[r.OrderSlot]++
+			}
+		}
+	}
+	return lagging
+}
+
+// evidence adds up, by order, what the fronts that reported here lately have counted.
+func (c *rolloutController) evidence() map[int64]rollout.Evidence {
+	byOrder := map[int64]rollout.Evidence{}
+	now := c.server.host.Now()
+	for _, report := range c.frontReports {
+		if now-report.at >= c.server.host.Heartbeats(evidenceTTL) {
+			continue
+		}
+		for _, front := range report.evidence {
+			if c.isRunning(front.Order) {
+				byOrder[front.Order] = byOrder[front.Order].Add(front)
+			}
+		}
+	}
+	return byOrder
+}
+
+// onRolloutReport passes a front's report on. Runs on the loop.
+func (s *Server) onRolloutReport(report nodeapi.RolloutReport) { s.rollouts.onReport(report) }
+
+// onRolloutTotals passes another control node's totals on. Runs on the loop.
+func (s *Server) onRolloutTotals(totals nodeapi.RolloutTotals) { s.rollouts.onTotals(totals) }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -72,7 +72,7 @@
 	cacheNodeHeardAt map[string]time.Duration
 	purgeQueue       chan *pendingPurge
 	unreachable      unreachableTable
-	rollouts         rolloutController
+	rollouts         *rolloutController
 	// reportScheduled: what is new in gossip goes out in a moment.
 	reportScheduled bool
 	// knownFronts are the fronts that this hut or another heard, and when.
@@ -154,8 +154,8 @@
 	h.poller = newDiscoveryPoller(h)
 	h.handlers = h.internalAPI()
 	h.applyVoters()
-	h.rollouts = newRolloutController(terms, n.Now())
-	h.applyRollouts()
+	h.rollouts = newRolloutController(h, terms, n.Now())
+	h.rollouts.apply()
 	return h, nil
 }
 
@@ -186,7 +186,7 @@
 	go h.joinLoop()
 	go h.finishAcceptedLoop()
 	go h.purgeLoop()
-	go h.rolloutLoop()
+	go h.rollouts.run()
 }
 
 // applyVoters follows the voters; it runs on the desk.
@@ -217,7 +217,7 @@
 	}
 	h.applyVoters()
 	h.pollLease.voter.SetVoters(s.VotersSlot, s.IsVoter(h.acceptor.ID), s.VotersSlot == old.Slot+1, h.host.Now())
-	h.applyRollouts()
+	h.rollouts.apply()
 	h.persistState()
 	h.packedValue = nil
 	clear(h.stateDeltas)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -83,6 +83,6 @@
 			st.CacheNodes = append(st.CacheNodes, l.Name+"@"+l.IP)
 		}
 	})
-	st.Rollouts = h.rolloutStatuses(h.State())
+	st.Rollouts = h.rollouts.statuses(h.State())
 	return st
 }
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -247,10 +247,7 @@
 // evaluate runs the charts over what this node saw itself; it runs on the desk.
 func (t *Server) evaluate(entries []rollout.Entry) {
 	now := t.host.Now()
-	byOrder := map[int64][]rollout.Entry{}
-	for _, e := range entries {
-		byOrder[e.Order] = append(byOrder[e.Order], e)
-	}
+	byOrder := rollout.GroupByOrder(entries)
 	for service, w := range *t.rollouts.observed.Load() {
 		j := t.rollouts.evaluators[w.order]
 		if j == nil {
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -60,9 +60,26 @@
 	Sum Sum `json:"S"`
 }
 
+// GroupByOrder sorts entries into one list per rollout order; each list keeps
+// the sequence of the entries.
+func GroupByOrder(entries []Entry) map[int64][]Entry {
+	byOrder := map[int64][]Entry{}
+	for _, e := range entries {
+		byOrder[e.Order] = append(byOrder[e.Order], e)
+	}
+	return byOrder
+}
+
 // maxCells bounds how many cells are held for all orders together.
 const maxCells = 4096
 
+// addBounded adds a sum to a cell. New cells beyond maxCells are dropped.
+func addBounded(cells map[Cell]Sum, c Cell, s Sum) {
+	if old, known := cells[c]; known || len(cells) < maxCells {
+		cells[c] = old.Plus(s)
+	}
+}
+
 // Recorder collects what this node sees. It may be used from any goroutine.
 type Recorder struct {
 	mu    sync.Mutex
@@ -76,9 +93,7 @@
 	if t.cells == nil {
 		t.cells = map[Cell]Sum{}
 	}
-	if old, ok := t.cells[c]; ok || len(t.cells) < maxCells {
-		t.cells[c] = old.Plus(s)
-	}
+	addBounded(t.cells, c, s)
 }
 
 // Drain gives what was counted since the last call.
@@ -112,9 +127,7 @@
 // Add counts what this node was told by the fronts that report to it.
 func (l *Aggregator) Add(entries []Entry) {
 	for _, e := range entries {
-		if old, ok := l.own[e.Cell]; ok || len(l.own) < maxCells {
-			l.own[e.Cell] = old.Plus(e.Sum)
-		}
+		addBounded(l.own, e.Cell, e.Sum)
 	}
 }
 
