--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -2,160 +2,219 @@
 
 import (
 	"slices"
-	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
+	"swiftswitch/internal/events"
 	"swiftswitch/internal/lease"
+	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/peersampling"
+	"swiftswitch/internal/records"
 )
 
-// Signs of life between huts, and what is handed over on them.
+// Times of heartbeats, in heartbeat intervals.
+const (
+	// heartbeatPeriod is the time between two rounds of heartbeats.
+	heartbeatPeriod = 0.4
+	// heartbeatCall bounds one heartbeat and its answer.
+	heartbeatCall = 0.8
+	// recentHeartbeat is within which time a peer must have been heard for its
+	// own heartbeats to stand for this node's.
+	recentHeartbeat = 0.6
+	// majorityHeardWithin is within which time a voter must have been heard to
+	// count for the majority.
+	majorityHeardWithin = 2
+)
 
-// heartbeat is this node's sign of life; it runs on the desk.
-func (h *Server) heartbeat() nodeapi.Heartbeat {
-	b := nodeapi.Heartbeat{ID: h.acceptor.ID, IP: h.host.Settings().IpAddress, DecidedSlot: h.acceptor.State.Slot, DurableSlot: h.acceptor.DurableSlot(), Epoch: h.pollLease.ObservedEpoch, Holder: h.pollLease.ObservedHolder, Zone: h.host.Settings().Zone, Draining: h.host.Draining.Load()}
-	b.Ineligible = !h.pollLease.Eligible(h.host.Now())
-	b.FrontCount = h.frontCount
-	b.RosterRevision = h.frontRoster().Revision
-	b.ElapsedMs = h.rollouts.elapsedTerms()
-	if h.tables.current != nil {
-		b.Stamp = h.tables.current.Stamp
-	}
-	return b
+// heartbeat describes this node. It runs on loop.
+func (s *Server) heartbeat() nodeapi.Heartbeat {
+	settings := s.host.Settings()
+	return nodeapi.Heartbeat{
+		ID:             s.acceptor.ID,
+		IP:             settings.IpAddress,
+		Zone:           settings.Zone,
+		DecidedSlot:    s.acceptor.State.Slot,
+		DurableSlot:    s.acceptor.DurableSlot(),
+		Epoch:          s.pollLease.ObservedEpoch,
+		Holder:         s.pollLease.ObservedHolder,
+		Ineligible:     !s.pollLease.Eligible(s.host.Now()),
+		Stamp:          s.tables.stamp(),
+		FrontCount:     s.frontCount,
+		RosterRevision: s.frontRoster().Revision,
+		ElapsedMs:      s.rollouts.elapsedTerms(),
+		Draining:       s.host.Draining.Load(),
+	}
 }
 
-// onHeartbeat takes another hut's sign of life; it runs on the desk.
-func (h *Server) onHeartbeat(b nodeapi.Heartbeat) {
-	now := h.host.Now()
-	h.peers.byIP[b.IP] = peerState{b.ID, now, b.Draining, b.Zone, b.DecidedSlot}
-	h.peers.detector.OnHeartbeat(b.ID, now)
-	h.onFrontCount(b.FrontCount, now)
-	h.pollLease.OnHeartbeat(b.ID, !b.Draining && !b.Ineligible, now)
-	h.pollLease.ObserveEpoch(b.Epoch, b.Holder)
-	h.rollouts.onElapsedTerms(b.ElapsedMs, now)
-	if r := h.peerRosters[b.IP]; r.Revision != b.RosterRevision && !r.fetching {
+// onHeartbeat takes the heartbeat of another control node, and starts to hand
+// it what it lacks. It runs on loop.
+func (s *Server) onHeartbeat(heartbeat nodeapi.Heartbeat) {
+	now := s.host.Now()
+	ip := heartbeat.IP
+	s.peers.onHeartbeat(heartbeat, now)
+	s.onFrontCount(heartbeat.FrontCount, now)
+	s.pollLease.OnHeartbeat(heartbeat.ID, !heartbeat.Draining && !heartbeat.Ineligible, now)
+	s.pollLease.ObserveEpoch(heartbeat.Epoch, heartbeat.Holder)
+	s.rollouts.onElapsedTerms(heartbeat.ElapsedMs, now)
+	if r := s.peerRosters[ip]; r.Revision != heartbeat.RosterRevision && !r.fetching {
 		r.fetching = true
-		h.peerRosters[b.IP] = r
-		go h.fetchRoster(b.IP)
+		s.peerRosters[ip] = r
+		go s.fetchRoster(ip)
 	}
-	h.peers.handoff.OnAcknowledged(b.IP, b.DurableSlot)
-	if b.DecidedSlot < h.acceptor.State.Slot && h.peers.handoff.NeedsHandoff(b.IP, h.acceptor.State.Slot) {
-		h.peers.handoff.Begin(b.IP)
-		go h.handOff(b.IP, b.DecidedSlot)
+	s.peers.handoff.OnAcknowledged(ip, heartbeat.DurableSlot)
+	own := s.acceptor.State.Slot
+	if heartbeat.DecidedSlot < own && s.peers.handoff.NeedsHandoff(ip, own) {
+		s.peers.handoff.Begin(ip)
+		go s.handOff(ip, heartbeat.DecidedSlot)
 	}
-	if t := h.tables.current; t != nil && b.Stamp.Before(t.Stamp) {
-		h.tables.send(b.IP, b.Stamp)
+	if s.tables.current != nil && heartbeat.Stamp.Before(s.tables.stamp()) {
+		s.tables.send(ip, heartbeat.Stamp)
 	}
 }
 
-// handOff gives a node what it missed.
-func (h *Server) handOff(ip string, slot int64) {
-	held := h.sendState(ip, slot, h.host.Heartbeats(1))
-	h.loop.Submit(func() { h.peers.handoff.Finish(ip, held) })
+// onFrontCount takes how many fronts another control node counts. A node that
+// no front watches, or that just started, goes by it. It runs on loop.
+func (s *Server) onFrontCount(count int, now time.Duration) {
+	if now < config.Seconds(s.host.Settings().Bounds.RetryWindowS, 1) {
+		s.inheritedFrontCount = max(s.inheritedFrontCount, count)
+	}
+	if count > s.persistedFrontCount {
+		s.persistedFrontCount = count
+		s.writeRecord(records.KeyFrontCount, count, nil)
+	}
 }
 
-// peerIPs lists the other huts to beat to; it runs on the desk.
-func (h *Server) peerIPs() []string {
-	self := h.host.Settings().IpAddress
-	var out []string
+// peerIPs lists the other control nodes to send to: the voters and the nodes
+// heard lately. It forgets the others. It runs on loop.
+func (s *Server) peerIPs() (ips []string) {
+	settings := s.host.Settings()
 	add := func(ip string) {
-		if ip != self && ip != "" && !slices.Contains(out, ip) {
-			out = append(out, ip)
+		if ip != settings.IpAddress && ip != "" && !slices.Contains(ips, ip) {
+			ips = append(ips, ip)
 		}
 	}
-	for _, v := range h.acceptor.State.Voters {
+	for _, v := range s.acceptor.State.Voters {
 		add(v.IP)
 	}
-	now := h.host.Now()
-	for ip, o := range h.peers.byIP {
-		if now-o.heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
+	now := s.host.Now()
+	inTouch := config.Milliseconds(settings.Bounds.InTouchMs, 1)
+	for ip, peer := range s.peers.byIP {
+		if now-peer.heardAt < inTouch {
 			add(ip)
-		} else if !slices.Contains(out, ip) {
-			h.peers.forget(ip)
-			delete(h.peerRosters, ip)
+		} else if !slices.Contains(ips, ip) {
+			s.peers.forget(ip)
+			delete(s.peerRosters, ip)
 		}
 	}
-	return out
+	return ips
 }
 
-func (h *Server) heartbeatLoop() {
+// heartbeatLoop sends heartbeats, and tells the failure detector that this
+// process runs.
+func (s *Server) heartbeatLoop() {
 	for {
-		h.loop.Call(h.detectorTick)
-		h.sendHeartbeats()
+		s.loop.Call(func() {
+			if s.peers.detector.Tick(s.host.Now()) {
+				events.Log(events.FailureDetectorReset)
+			}
+		})
+		s.sendHeartbeats()
 		select {
-		case <-h.host.Stopping:
+		case <-s.host.Stopping:
 			return
-		case <-time.After(h.host.Heartbeats(0.4)):
+		case <-time.After(s.host.Heartbeats(heartbeatPeriod)):
 		}
 	}
 }
 
-func (h *Server) sendHeartbeats() {
-	var out []string
-	var b nodeapi.Heartbeat
-	var bid lease.Request
-	var sent time.Duration
-	known := 0
-	h.loop.Call(func() {
-		sent = h.host.Now()
-		b = h.heartbeat()
-		bid, b.Renewals = h.pollLease.renewals(sent)
-		for _, ip := range h.peerIPs() {
-			// A beat's answer is one as well: of two that hear each other, one
-			// sends. A holder sends to all voters, as its renewals go along.
-			o, ok := h.peers.byIP[ip]
-			if ok && sent-o.heardAt < h.host.Heartbeats(0.6) && !b.Draining && !h.initiatesHeartbeat(b, ip, o) {
-				known++
-				continue
-			}
-			out = append(out, ip)
+// outgoingHeartbeat is a heartbeat with whom it goes to.
+type outgoingHeartbeat struct {
+	message nodeapi.Heartbeat
+	// renewal is the lease request that the message renews; its epoch is 0
+	// where it renews none.
+	renewal lease.Request
+	sent    time.Duration
+	to      []string
+	// noPeers: no other control node was heard, and there is no other voter.
+	noPeers bool
+}
+
+// nextHeartbeat prepares the heartbeat that is to be sent now. A heartbeat is
+// answered by one, so of two nodes that hear each other only one sends. It runs
+// on loop.
+func (s *Server) nextHeartbeat() outgoingHeartbeat {
+	out := outgoingHeartbeat{sent: s.host.Now(), message: s.heartbeat()}
+	out.renewal, out.message.Renewals = s.pollLease.renewals(out.sent)
+	peers := s.peerIPs()
+	out.noPeers = len(peers) == 0
+	for _, ip := range peers {
+		peer, heard := s.peers.byIP[ip]
+		recent := heard && out.sent-peer.heardAt < s.host.Heartbeats(recentHeartbeat)
+		if !recent || out.message.Draining || s.initiatesHeartbeat(out.message, ip, peer) {
+			out.to = append(out.to, ip)
 		}
-	})
-	if len(out)+known == 0 {
-		out = slices.DeleteFunc(h.host.ControlIPs(), func(ip string) bool { return ip == h.host.Settings().IpAddress })
-	}
-	for _, ip := range out {
-		go func() {
-			var say nodeapi.Heartbeat
-			if err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathHeartbeat, b, &say, h.host.Heartbeats(0.8)); err == nil {
-				h.loop.Submit(func() {
-					h.onHeartbeat(say)
-					h.pollLease.onRenewals(bid, say, sent)
-				})
-				h.host.ViewLoop.Submit(func() { h.host.View.Add(peersampling.Node{Name: say.ID, IP: say.IP, IsControl: true}) })
-			}
-		}()
 	}
+	return out
+}
+
+// sendHeartbeats sends one round of heartbeats. Their answers are taken in the
+// background. A node without peers tries all control nodes that it knows of.
+func (s *Server) sendHeartbeats() {
+	var out outgoingHeartbeat
+	s.loop.Call(func() { out = s.nextHeartbeat() })
+	if out.noPeers {
+		out.to = s.otherControlIPs()
+	}
+	for _, ip := range out.to {
+		go s.sendHeartbeat(out, ip)
+	}
+}
+
+// sendHeartbeat sends a heartbeat to one node and takes the answer.
+func (s *Server) sendHeartbeat(out outgoingHeartbeat, ip string) {
+	var answer nodeapi.Heartbeat
+	err := s.host.Client.CallJSON(s.host.Settings().InternalAddress(ip), nodeapi.PathHeartbeat, out.message, &answer, s.host.Heartbeats(heartbeatCall))
+	if err != nil {
+		return
+	}
+	s.loop.Submit(func() {
+		s.onHeartbeat(answer)
+		s.pollLease.onRenewals(out.renewal, answer, out.sent)
+	})
+	s.host.ViewLoop.Submit(func() {
+		s.host.View.Add(peersampling.Node{Name: answer.ID, IP: answer.IP, IsControl: true})
+	})
 }
 
-// initiatesHeartbeat tells whether of this node and another that hear each other this one
-// sends the beats; it runs on the desk.
-func (h *Server) initiatesHeartbeat(b nodeapi.Heartbeat, ip string, o peerState) bool {
+// initiatesHeartbeat tells which of two nodes that hear each other sends the
+// heartbeats: the holder of a lease to a voter, as its renewals go along, and
+// otherwise the one with the lower address. It runs on loop.
+func (s *Server) initiatesHeartbeat(own nodeapi.Heartbeat, ip string, peer peerState) bool {
 	switch {
-	case b.Renewals != nil && h.acceptor.State.IsVoter(o.id):
+	case own.Renewals != nil && s.acceptor.State.IsVoter(peer.id):
 		return true
-	case o.id == h.pollLease.ObservedHolder && h.acceptor.State.IsVoter(h.acceptor.ID):
+	case peer.id == s.pollLease.ObservedHolder && s.acceptor.State.IsVoter(s.acceptor.ID):
 		return false
 	}
-	return b.IP <= ip
+	return own.IP <= ip
 }
 
-// lacksMajority tells whether this hut has not heard a majority of the voters lately;
-// it runs on the desk.
-func (h *Server) lacksMajority(now time.Duration) bool {
+// lacksMajority tells whether this node has not heard a majority of the voters
+// lately. It runs on loop.
+func (s *Server) lacksMajority(now time.Duration) bool {
 	heard := 0
-	for _, v := range h.acceptor.State.Voters {
-		if v.ID == h.acceptor.ID || h.pollLease.SilentFor(v.ID, now) < h.host.Heartbeats(2) {
+	for _, v := range s.acceptor.State.Voters {
+		if v.ID == s.acceptor.ID || s.pollLease.SilentFor(v.ID, now) < s.host.Heartbeats(majorityHeardWithin) {
 			heard++
 		}
 	}
-	return heard < len(h.acceptor.State.Voters)/2+1
+	return heard < len(s.acceptor.State.Voters)/2+1
 }
 
-// isolated is lone for whoever is not on the desk. Such a hut says so at once,
-// and its callers go on to another.
-func (h *Server) isolated() (yes bool) {
-	h.loop.Call(func() { yes = h.lacksMajority(h.host.Now()) })
-	return yes
+// isolated tells whether this node can't settle anything now, because it lacks
+// a majority. It says so at once instead of waiting for time-outs, so that
+// callers go on to another node.
+func (s *Server) isolated() (isolated bool) {
+	s.loop.Call(func() { isolated = s.lacksMajority(s.host.Now()) })
+	return isolated
 }
--- a/internal/control/peer_table.go
+++ b/internal/control/peer_table.go
@@ -3,8 +3,10 @@
 import (
 	"time"
 
+	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/handoff"
 	"swiftswitch/internal/membership"
+	"swiftswitch/internal/nodeapi"
 )
 
 // peerState is what the last heartbeat of another control node said.
@@ -24,11 +26,11 @@
 	// byIP holds the nodes that were heard, by address. A node that lost its
 	// disk comes back at the same address under another ID.
 	byIP map[string]peerState
-	// detector suspects voters that are silent for long. Only the evidence of
-	// a majority's detectors takes a vote away.
+	// detector suspects voters that are silent for long. Only the suspicion of
+	// a majority takes a vote away.
 	detector *membership.FailureDetector
 	// handoff tracks up to which slot each node has the decided state on disk,
-	// and which nodes a hinted handoff is under way to.
+	// and which nodes a hinted handoff is in progress to.
 	handoff *handoff.Tracker
 }
 
@@ -40,6 +42,47 @@
 	}
 }
 
+// onHeartbeat records the heartbeat of another node.
+func (p *peerTable) onHeartbeat(heartbeat nodeapi.Heartbeat, now time.Duration) {
+	p.byIP[heartbeat.IP] = peerState{
+		id:      heartbeat.ID,
+		heardAt: now,
+		leaving: heartbeat.Draining,
+		zone:    heartbeat.Zone,
+		slot:    heartbeat.DecidedSlot,
+	}
+	p.detector.OnHeartbeat(heartbeat.ID, now)
+}
+
+// add notes a node that made itself known by another call than a heartbeat. A
+// node that is known under this identity stays as it is.
+func (p *peerTable) add(ip, id string, now time.Duration) {
+	if known, ok := p.byIP[ip]; !ok || known.id != id {
+		p.byIP[ip] = peerState{id: id, heardAt: now}
+	}
+}
+
+// voter returns what is known of another voter; ok is false where its address
+// was not heard, or was heard under another identity.
+func (p *peerTable) voter(v consensus.Voter) (peer peerState, ok bool) {
+	peer, heard := p.byIP[v.IP]
+	if !heard || peer.id != v.ID {
+		return peerState{}, false
+	}
+	return peer, true
+}
+
+// staying lists the addresses of the nodes that don't drain and were heard
+// within the time given.
+func (p *peerTable) staying(now, within time.Duration) (ips []string) {
+	for ip, peer := range p.byIP {
+		if !peer.leaving && now-peer.heardAt < within {
+			ips = append(ips, ip)
+		}
+	}
+	return ips
+}
+
 // forget drops a node that was not heard for long.
 func (p *peerTable) forget(ip string) {
 	delete(p.byIP, ip)
