--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,5 +1,12 @@
-// Package traverse reaches searchers: it keeps their connections, chooses
-// one for a try, carries the try out and learns from the answer how each is
-// doing. In the field's terms: upstream connection pooling, load balancing
-// and outlier detection.
+// Package upstream connects a front or a cache node to the searchers: it pools
+// connections, balances load over the endpoints of a service by their expected
+// latency, and learns each endpoint's health from the responses, without
+// probes (passive health checks).
+//
+// An endpoint that fails several times in a row is ejected for a while
+// (outlier ejection). Where nodes outnumber the connections that an endpoint
+// accepts, each node uses a deterministic subset of the endpoints.
+//
+// The package makes single attempts. Retries, hedged requests and the merge of
+// responses are those of package scatter.
 package upstream
--- a/internal/upstream/traverse_test.go
+++ b/internal/upstream/request_test.go
@@ -21,7 +21,7 @@
 	}
 	want := "POST /a%2Fb/../c?q=1 HTTP/1.1\r\nHost: a.example\r\nSwiftswitch-Request-Id: r1\r\nX-Own: 1\r\nX-Own: 2\r\nContent-Length: 4\r\n" +
 		"Swiftswitch-Deadline-Milliseconds: 99\r\nSwiftswitch-Expected-Instance: i-1\r\n\r\nbody"
-	if got := string(r.bytesFor("i-1", 99)); got != want {
+	if got := string(r.encode("i-1", 99*time.Millisecond)); got != want {
 		t.Fatalf("sent on as\n%q, want\n%q", got, want)
 	}
 }
@@ -82,10 +82,10 @@
 	}
 	var silent []string
 	g.OnUnhealthy = func(id string) { silent = append(silent, id) }
-	g.learn(p, &Attempt{Outcome: OutcomeUnknown}, start)
+	g.record(p, &Attempt{Outcome: OutcomeUnknown}, start)
 	for i := 0; i < 2; i++ {
-		p.inflight = append(p.inflight, start)
-		g.learn(p, &Attempt{Outcome: OutcomeUnknown}, start)
+		p.inFlight = append(p.inFlight, start)
+		g.record(p, &Attempt{Outcome: OutcomeUnknown}, start)
 	}
 	if len(silent) != 1 || silent[0] != "a" {
 		t.Fatalf("silence told: %v", silent)
@@ -98,30 +98,30 @@
 	if q, _ := g.Pick(Selector{Service: "s", IDs: []string{"b"}}, nil, target, false); q != nil {
 		t.Fatal("the connections that others need were taken")
 	}
-	b := g.peers["b"]
-	b.running, b.waiting, b.loadAt = 2, 0, time.Now()
+	b := g.endpoints["b"]
+	b.reportedRunning, b.reportedWaiting, b.loadReportedAt = 2, 0, time.Now()
 	if q, _ := g.Pick(Selector{Service: "s", IDs: []string{"b"}}, nil, target, true); q != nil {
 		t.Fatal("a full searcher was chosen as company for a straggler")
 	}
 	// A searcher that shuts new connections gets fewer, and more again later.
 	g.SetConnectionLimit("s", 40)
-	b.loadAt, b.fails, b.outUntil = time.Time{}, 0, time.Time{}
-	for len(b.inflight) < 8 {
-		b.inflight = append(b.inflight, time.Now())
+	b.loadReportedAt, b.consecutiveFailures, b.ejectedUntil = time.Time{}, 0, time.Time{}
+	for len(b.inFlight) < 8 {
+		b.inFlight = append(b.inFlight, time.Now())
 	}
-	g.learn(b, &Attempt{Outcome: OutcomeUnknown, shut: true}, b.inflight[0])
-	if n := g.limit(b, g.track("s"), g.reach("s", "", g.track("s"), time.Now()), time.Now()); n != 4 || b.fails != 0 {
-		t.Fatalf("room for %d connections, %d failures", n, b.fails)
+	g.record(b, &Attempt{Outcome: OutcomeUnknown, closedOnConnect: true}, b.inFlight[0])
+	if n := g.connectionLimit(b, g.service("s"), g.subset(g.service("s"), "", time.Now()), time.Now()); n != 4 || b.consecutiveFailures != 0 {
+		t.Fatalf("room for %d connections, %d failures", n, b.consecutiveFailures)
 	}
-	if n := g.limit(b, g.track("s"), g.reach("s", "", g.track("s"), time.Now()), time.Now().Add(10*time.Second)); n != 10 {
+	if n := g.connectionLimit(b, g.service("s"), g.subset(g.service("s"), "", time.Now()), time.Now().Add(10*time.Second)); n != 10 {
 		t.Fatalf("room for %d connections later", n)
 	}
 	var full []string
 	g.OnHealthy = func(id string) { full = append(full, id) }
 	for i := 0; i < 2; i++ {
-		g.learn(p, &Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}, start)
+		g.record(p, &Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}, start)
 	}
-	if strings.Join(full, ",") != "a" || p.fails != 0 {
+	if strings.Join(full, ",") != "a" || p.consecutiveFailures != 0 {
 		t.Fatalf("a searcher that is back was told %v times", full)
 	}
 }
--- a/internal/upstream/reach_test.go
+++ b/internal/upstream/subset_test.go
@@ -48,11 +48,11 @@
 	sum = map[string]int{}
 	now := time.Now()
 	for _, g := range fronts {
-		t, any := g.track(service), false
-		r := g.reach(service, "", t, now)
-		for _, p := range g.services[service] {
-			n := max(0, g.limit(p, t, r, now))
-			if !g.usable(p, nil, now) {
+		t, any := g.service(service), false
+		r := g.subset(t, "", now)
+		for _, p := range t.endpoints {
+			n := max(0, g.connectionLimit(p, t, r, now))
+			if !g.healthy(p, now) {
 				continue
 			}
 			sum[p.ID] += n
@@ -90,7 +90,7 @@
 		// All but two searchers of a shard are ill: others take their place, within the limit still.
 		for _, g := range fronts {
 			for z := 0; z < 4; z++ {
-				g.peers[fmt.Sprintf("i-0-%d", z)].fails = 3
+				g.endpoints[fmt.Sprintf("i-0-%d", z)].consecutiveFailures = 3
 			}
 		}
 		sum, without := taken(fronts, "s0")
@@ -116,8 +116,8 @@
 	g.OnUnhealthy = func(id string) { t.Fatalf("%s was called silent", id) }
 	for i := 0; i < 6; i++ {
 		p, start := g.Pick(Selector{Service: "s0"}, nil, 100*time.Millisecond, false)
-		g.learn(p, &Attempt{Outcome: OutcomeUnknown, shut: true}, start)
-		if p.fails > 0 {
+		g.record(p, &Attempt{Outcome: OutcomeUnknown, closedOnConnect: true}, start)
+		if p.consecutiveFailures > 0 {
 			t.Fatal("a shut connection counts as a failure")
 		}
 		if q, again := g.Pick(Selector{Service: "s0"}, nil, 100*time.Millisecond, false); q == p {
@@ -125,6 +125,6 @@
 		} else {
 			g.CancelPick(q, again)
 		}
-		p.outUntil = time.Time{}
+		p.ejectedUntil = time.Time{}
 	}
 }
--- a/internal/upstream/hearsay_test.go
+++ b/internal/upstream/unreachable_test.go
@@ -15,15 +15,15 @@
 	misses := 0
 	g.OnUnreachable = func() { misses++ }
 	end := func(p *Endpoint, o Attempt, took time.Duration) {
-		g.learn(p, &o, time.Now().Add(-took))
+		g.record(p, &o, time.Now().Add(-took))
 	}
 	answered := Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}
 	late := Attempt{Outcome: OutcomeUnknown, Err: os.ErrDeadlineExceeded}
 	for s := 0; s < 6; s++ {
-		end(g.peers["i-"+string(rune('0'+s))+"-0"], answered, 5*time.Millisecond)
+		end(g.endpoints["i-"+string(rune('0'+s))+"-0"], answered, 5*time.Millisecond)
 	}
-	near := g.peers["i-1-0"]
-	g.tracks["s1"].p50 = 5
+	near := g.endpoints["i-1-0"]
+	g.services["s1"].latency.p50 = 5
 	end(near, late, 8*time.Millisecond)
 	if misses != 0 || len(g.UnreachableOrdinals(time.Second)) != 0 {
 		t.Fatal("a searcher that was given no time is told of")
@@ -33,14 +33,14 @@
 		t.Fatalf("missed %v, told %d times", got, misses)
 	}
 	for s := 2; s < 5; s++ {
-		p := g.peers["i-"+string(rune('0'+s))+"-0"]
-		g.tracks[p.Service].p50 = 5
+		p := g.endpoints["i-"+string(rune('0'+s))+"-0"]
+		g.services[p.Service].latency.p50 = 5
 		end(p, late, 300*time.Millisecond)
 	}
 	if got := g.UnreachableOrdinals(time.Second); got != nil {
 		t.Fatalf("a node that is ill itself accuses %v", got)
 	}
-	near = g.peers["i-7-0"]
+	near = g.endpoints["i-7-0"]
 	if p, start := g.Pick(Selector{Service: "s7"}, nil, target, false); p != near {
 		t.Fatal("the near one is not preferred")
 	} else {
