--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -49,7 +49,7 @@
 	"record-leases":    map[string]lease.Record{},
 	"record-table":     endpoints.Table{},
 	"record-fronts":    0,
-	"record-terms":     rollout.Noted{},
+	"record-terms":     rollout.TermRecord{},
 	"record-life":      int64(0),
 	"record-taken":     []consensus.AppliedChange{},
 	"value":            consensus.Value{},
@@ -61,7 +61,7 @@
 	"lease-record":     lease.Record{},
 	"rollout-entry":    rollout.Entry{},
 	"rollout-cell":     rollout.Cell{},
-	"rollout-sum":      rollout.Sum{},
+	"rollout-sum":      rollout.Sample{},
 	"copy-field":       cache.Field{},
 	"front":            relay.Front{},
 	"view-node":        peersampling.Node{},
@@ -330,7 +330,7 @@
 	Leases   map[string]lease.Record
 	Table    *endpoints.Table
 	Fronts   int
-	Terms    rollout.Noted
+	Terms    rollout.TermRecord
 	State    consensus.State
 	Ballots  consensus.BallotState
 	Packed   []byte
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -33,7 +33,7 @@
 func (h *Server) OrderKnownAt() map[int64]time.Duration {
 	return h.rollouts.orderKnownAt
 }
-func (h *Server) Evaluators() map[int64]*rollout.Judge { return h.rollouts.evaluators }
+func (h *Server) Evaluators() map[int64]*rollout.Evaluator { return h.rollouts.evaluators }
 
 func (h *Server) SetDetector(d *membership.FailureDetector) { h.peers.detector = d }
 
--- a/internal/control/rollout_api.go
+++ b/internal/control/rollout_api.go
@@ -233,7 +233,7 @@
 		Reason:         r.Reason,
 	}
 	if r.Running() {
-		status.RemainingS = max(0, status.DurationS-c.clock.Spent(r.OrderSlot, now).Seconds())
+		status.RemainingS = max(0, status.DurationS-c.clock.Elapsed(r.OrderSlot, now).Seconds())
 	}
 	return status
 }
--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -41,11 +41,11 @@
 	server *Server
 
 	// clock tells how much of each order's term has elapsed.
-	clock *rollout.Clock
+	clock *rollout.TermClock
 	// totals holds what fronts reported here and what other control nodes sent.
 	totals *rollout.Aggregator
 	// evaluators run the control charts, by order.
-	evaluators map[int64]*rollout.Judge
+	evaluators map[int64]*rollout.Evaluator
 	// phaseKnownAt is when this incarnation learned an order's current phase.
 	phaseKnownAt map[int64]knownPhase
 	// orderKnownAt is when this incarnation learned of past orders, by slot.
@@ -78,12 +78,12 @@
 	holderIP string
 }
 
-func newRolloutController(s *Server, terms rollout.Noted, now time.Duration) *rolloutController {
+func newRolloutController(s *Server, terms rollout.TermRecord, now time.Duration) *rolloutController {
 	return &rolloutController{
 		server:        s,
-		clock:         rollout.NewClock(terms, time.Now(), now),
+		clock:         rollout.NewTermClock(terms, time.Now(), now),
 		totals:        rollout.NewAggregator(),
-		evaluators:    map[int64]*rollout.Judge{},
+		evaluators:    map[int64]*rollout.Evaluator{},
 		phaseKnownAt:  map[int64]knownPhase{},
 		orderKnownAt:  map[int64]time.Duration{},
 		reportFilters: map[string]*rollout.ReportFilter{},
@@ -176,11 +176,11 @@
 }
 
 // evaluator returns the charts of an order, and starts them with the first call.
-func (c *rolloutController) evaluator(r consensus.Rollout) *rollout.Judge {
+func (c *rolloutController) evaluator(r consensus.Rollout) *rollout.Evaluator {
 	e := c.evaluators[r.OrderSlot]
 	if e == nil {
 		host := c.server.host
-		e = rollout.NewJudge(host.Options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, host.Now())
+		e = rollout.NewEvaluator(host.Options.Rollout, time.Duration(r.DurationMs)*time.Millisecond, host.Now())
 		c.evaluators[r.OrderSlot] = e
 	}
 	return e
@@ -202,11 +202,11 @@
 			Service:        r.Service,
 			TargetVersion:  r.TargetVersion,
 			Phase:          next.Phase,
-			ElapsedMs:      facts.Spent.Milliseconds(),
-			TrialMs:        next.For.Milliseconds(),
-			TargetAttempts: e.New,
-			TotalAttempts:  e.New + e.Old,
-			Reason:         next.Why,
+			ElapsedMs:      facts.Elapsed.Milliseconds(),
+			TrialMs:        next.TrialDuration.Milliseconds(),
+			TargetAttempts: e.NewAttempts,
+			TotalAttempts:  e.NewAttempts + e.OldAttempts,
+			Reason:         next.Reason,
 		})
 	}
 	return phases
@@ -215,9 +215,9 @@
 // runCharts advances the charts of an order and logs their alarms.
 func (c *rolloutController) runCharts(r consensus.Rollout, now time.Duration) {
 	e := c.evaluator(r)
-	e.Loaded = r.Phase != consensus.PhaseCanary
+	e.UnderLoad = r.Phase != consensus.PhaseCanary
 	for _, alarm := range e.Step(now) {
-		if alarm.Bad {
+		if alarm.Confirmed {
 			events.Log(events.CUSUMAlarm, "service", r.Service, "version", r.TargetVersion, "metric", alarm.Metric, "route", alarm.Route)
 		} else {
 			events.Log(events.CUSUMAlarmDismissed, "service", r.Service, "version", r.TargetVersion, "metric", alarm.Metric, "route", alarm.Route, "better", alarm.Better)
@@ -232,25 +232,25 @@
 	e := c.evaluator(r)
 	capacity := c.server.versionCapacity(r)
 	facts := rollout.Facts{
-		Rollout:  r,
-		Spent:    c.clock.Spent(r.OrderSlot, now),
-		Since:    now - c.phaseKnownAt[r.OrderSlot].at,
-		Bad:      e.Bad(),
-		Rate:     e.Rate(now),
-		New:      e.New,
-		Good:     e.Good,
-		Evidence: own.Evidence[r.OrderSlot],
-		Ready:    capacity.targetWarm,
-		Old:      capacity.from,
-		Behind:   own.FrontsBehind[r.OrderSlot],
-		Report:   host.Heartbeats(evaluationDelay),
-		Settle:   config.Milliseconds(host.Settings().Bounds.ConfigEffectMs, settleRatio),
+		Rollout:       r,
+		Elapsed:       c.clock.Elapsed(r.OrderSlot, now),
+		PhaseAge:      now - c.phaseKnownAt[r.OrderSlot].at,
+		Finding:       e.Finding(),
+		RequestRate:   e.RequestRate(now),
+		New:           e.NewAttempts,
+		GoodAnswers:   e.GoodAnswers,
+		Evidence:      own.Evidence[r.OrderSlot],
+		ReadySlots:    capacity.targetWarm,
+		OldSlots:      capacity.from,
+		LaggingNodes:  own.FrontsBehind[r.OrderSlot],
+		ReportDelay:   host.Heartbeats(evaluationDelay),
+		SettleTimeout: config.Milliseconds(host.Settings().Bounds.ConfigEffectMs, settleRatio),
 	}
 	// Shortly after the lease changed hands, not all fronts may have reported here.
-	facts.Successor = now-c.withoutLeaseAt < facts.Settle
+	facts.Successor = now-c.withoutLeaseAt < facts.SettleTimeout
 	for _, report := range c.peerReports {
 		if now-report.at < host.Heartbeats(laggingTTL) {
-			facts.Behind += report.lagging[r.OrderSlot]
+			facts.LaggingNodes += report.lagging[r.OrderSlot]
 		}
 		if now-report.at < host.Heartbeats(evidenceTTL) {
 			facts.Evidence = facts.Evidence.Merge(report.evidence[r.OrderSlot])
@@ -331,7 +331,7 @@
 		}
 		phaseKnownAt[r.OrderSlot] = knownPhase{r.Slot, now}
 		if r.Running() {
-			c.clock.Hear(r.OrderSlot, time.Duration(r.ElapsedMs)*time.Millisecond, now)
+			c.clock.AtLeast(r.OrderSlot, time.Duration(r.ElapsedMs)*time.Millisecond, now)
 			c.persistTerms(now)
 		}
 		logPhase(r)
@@ -353,13 +353,13 @@
 // restart gives no order more time. Runs on Server.loop.
 func (c *rolloutController) persistTerms(now time.Duration) {
 	c.termsPersistedAt = now
-	c.server.writeRecord(records.KeyTerms, c.clock.Note(c.isRunning, time.Now(), now), nil)
+	c.server.writeRecord(records.KeyTerms, c.clock.Record(c.isRunning, time.Now(), now), nil)
 }
 
 // elapsedTerms returns how many milliseconds of the running orders' terms have
 // elapsed, by order. Runs on Server.loop.
 func (c *rolloutController) elapsedTerms() map[int64]int64 {
-	return c.clock.Note(c.isRunning, time.Now(), c.server.host.Now()).Spent
+	return c.clock.Record(c.isRunning, time.Now(), c.server.host.Now()).ElapsedMs
 }
 
 // onElapsedTerms takes the elapsed terms of another control node: the most that
@@ -367,7 +367,7 @@
 func (c *rolloutController) onElapsedTerms(elapsedMs map[int64]int64, now time.Duration) {
 	for order, ms := range elapsedMs {
 		if c.isRunning(order) {
-			c.clock.Hear(order, time.Duration(ms)*time.Millisecond, now)
+			c.clock.AtLeast(order, time.Duration(ms)*time.Millisecond, now)
 		}
 	}
 }
--- a/internal/control/rollout_reports.go
+++ b/internal/control/rollout_reports.go
@@ -38,7 +38,7 @@
 	if !filter.Accept(report.Incarnation, report.Seq) {
 		return
 	}
-	c.totals.Add(slices.DeleteFunc(report.Entries, func(e rollout.Entry) bool { return !c.isRunning(e.Order) }))
+	c.totals.Add(slices.DeleteFunc(report.Entries, func(e rollout.Entry) bool { return !c.isRunning(e.OrderSlot) }))
 	c.frontReports[report.Name] = frontReport{c.server.host.Now(), report.Evidence}
 }
 
@@ -72,8 +72,8 @@
 			continue
 		}
 		for _, front := range report.evidence {
-			if c.isRunning(front.Order) {
-				byOrder[front.Order] = byOrder[front.Order].Add(front)
+			if c.isRunning(front.OrderSlot) {
+				byOrder[front.OrderSlot] = byOrder[front.OrderSlot].Add(front)
 			}
 		}
 	}
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -133,7 +133,7 @@
 	w.Eventually("the holder's charts speak", func() (bad bool) {
 		holder.Loop().Call(func() {
 			for _, j := range holder.Evaluators() {
-				bad = bad || j.Bad() != ""
+				bad = bad || j.Finding() != ""
 			}
 		})
 		return bad
@@ -158,7 +158,7 @@
 	again := w.StartNode(11, false, 1, 2, 3)
 	w.Eventually("it serves", func() bool { return again.Front().Ready() && again.Front().Listening() })
 	l := again.Front().Snapshot().TrafficSplits["plain"]
-	if l == nil || l.From != "v1" || l.Target != "v2" || l.Phase != "canary" {
+	if l == nil || l.FromVersion != "v1" || l.TargetVersion != "v2" || l.Phase != "canary" {
 		t.Fatalf("ready without the order: %+v", l)
 	}
 	asked := func() int { return news[0].RunCount() + news[1].RunCount() }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -110,7 +110,7 @@
 	h := &Server{host: n, store: cel, loop: commandloop.New(), fronts: map[string]frontState{}, changed: make(chan struct{}), peerRosters: map[string]peerRoster{}, knownFronts: map[string]knownFront{}, cacheNodeHeardAt: map[string]time.Duration{}, purgeQueue: make(chan *pendingPurge, 1024), packedVersions: map[int64]packedVersion{}, stateDeltas: map[int64]*nodeapi.StateDelta{}, unreachable: unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}}}
 	leases := map[string]lease.Record{}
 	var id string
-	var terms rollout.Noted
+	var terms rollout.TermRecord
 	var table *endpoints.Table
 	err = records.Load(cel, map[string]any{records.KeyTerms: &terms, records.KeyIdentity: &id, records.KeyLeases: &leases, records.KeyTable: &table, records.KeyFrontCount: &h.inheritedFrontCount, records.KeyIncarnation: &h.incarnation})
 	if err != nil {
--- a/internal/cusum/barometer.go
+++ b/internal/cusum/barometer.go
@@ -31,8 +31,8 @@
 	return Options{ReferenceValue: 0.5, InitialLimit: 2.96, LimitRise: 0.3, KneeRunLength: 5, LimitFall: -0.1}
 }
 
-// Check tells which option is out of its range.
-func (o Options) Check() error {
+// Validate tells which option is out of its range.
+func (o Options) Validate() error {
 	for _, r := range []struct {
 		name           string
 		v, least, most float64
@@ -69,9 +69,9 @@
 
 // Chart is one stream's pair of sums and their run counters.
 type Chart struct {
-	Up, Down       float64
-	RunUp, RunDown int
-	begun          bool
+	Upper, Lower       float64
+	UpperRun, LowerRun int
+	started            bool
 }
 
 // Step takes the standardized average of one subgroup. A sum that signals
@@ -81,25 +81,25 @@
 	if math.IsNaN(z) {
 		return None
 	}
-	if !c.begun && o.HeadStart {
-		c.Up, c.Down = o.InitialLimit/2, o.InitialLimit/2
+	if !c.started && o.HeadStart {
+		c.Upper, c.Lower = o.InitialLimit/2, o.InitialLimit/2
 	}
-	c.begun = true
-	c.Up, c.RunUp = add(c.Up, c.RunUp, z-o.ReferenceValue)
-	c.Down, c.RunDown = add(c.Down, c.RunDown, -z-o.ReferenceValue)
+	c.started = true
+	c.Upper, c.UpperRun = accumulate(c.Upper, c.UpperRun, z-o.ReferenceValue)
+	c.Lower, c.LowerRun = accumulate(c.Lower, c.LowerRun, -z-o.ReferenceValue)
 	switch {
-	case c.Up > o.Limit(c.RunUp) && c.RunUp > 0, o.ShewhartLimit > 0 && z > o.ShewhartLimit:
-		c.Up, c.RunUp = 0, 0
+	case c.Upper > o.Limit(c.UpperRun) && c.UpperRun > 0, o.ShewhartLimit > 0 && z > o.ShewhartLimit:
+		c.Upper, c.UpperRun = 0, 0
 		return Above
-	case c.Down > o.Limit(c.RunDown) && c.RunDown > 0, o.ShewhartLimit > 0 && -z > o.ShewhartLimit:
-		c.Down, c.RunDown = 0, 0
+	case c.Lower > o.Limit(c.LowerRun) && c.LowerRun > 0, o.ShewhartLimit > 0 && -z > o.ShewhartLimit:
+		c.Lower, c.LowerRun = 0, 0
 		return Below
 	}
 	return None
 }
 
-// add clamps a sum at zero and counts the subgroups for which it stays above.
-func add(sum float64, run int, by float64) (float64, int) {
+// accumulate clamps a sum at zero and counts the subgroups for which it stays above.
+func accumulate(sum float64, run int, by float64) (float64, int) {
 	if sum += by; sum <= 0 {
 		return 0, 0
 	}
--- a/internal/cusum/barometer_test.go
+++ b/internal/cusum/barometer_test.go
@@ -49,11 +49,11 @@
 		t.Fatalf("limits %v %v %v %v", o.Limit(0), o.Limit(5), o.Limit(6), o.Limit(1000))
 	}
 	var c Chart
-	if c.Step(o, 9) != Above || c.Up != 0 || c.RunUp != 0 {
+	if c.Step(o, 9) != Above || c.Upper != 0 || c.UpperRun != 0 {
 		t.Fatalf("no restart after a signal: %+v", c)
 	}
 	c.Step(o, 2)
-	if c.Step(o, -9) != Below || c.Up != 0 || c.RunUp != 0 {
+	if c.Step(o, -9) != Below || c.Upper != 0 || c.UpperRun != 0 {
 		t.Fatalf("the upper sum is not clamped: %+v", c)
 	}
 	s := Options{ReferenceValue: 0.5, InitialLimit: 50, ShewhartLimit: 3}
@@ -61,7 +61,7 @@
 		t.Fatal("the single subgroup far out")
 	}
 	for _, bad := range []Options{{ReferenceValue: -1, InitialLimit: 1}, {ReferenceValue: 0.5}, {ReferenceValue: 0.5, InitialLimit: 1, LimitRise: -1, KneeRunLength: 3}} {
-		if bad.Check() == nil {
+		if bad.Validate() == nil {
 			t.Errorf("%+v passes", bad)
 		}
 	}
--- a/internal/front/rollout.go
+++ b/internal/front/rollout.go
@@ -25,7 +25,7 @@
 // to the trail's desk.
 type rolloutFollower struct {
 	orders map[string]consensus.Rollout
-	splits map[string]*rollout.Lane
+	splits map[string]*rollout.TrafficSplit
 	// trialUntil is when a trial ends here, by order.
 	trialUntil map[int64]time.Duration
 	halted     map[int64]bool
@@ -34,7 +34,7 @@
 	recorder rollout.Recorder
 	// unsent holds what was charted here and what no control node has taken yet.
 	unsent      rollout.Recorder
-	evaluators  map[int64]*rollout.Judge
+	evaluators  map[int64]*rollout.Evaluator
 	incarnation int64
 	sequence    int64
 }
@@ -49,7 +49,7 @@
 }
 
 func (s *rolloutFollower) reset() {
-	s.orders, s.trialUntil, s.halted, s.evaluators = map[string]consensus.Rollout{}, map[int64]time.Duration{}, map[int64]bool{}, map[int64]*rollout.Judge{}
+	s.orders, s.trialUntil, s.halted, s.evaluators = map[string]consensus.Rollout{}, map[int64]time.Duration{}, map[int64]bool{}, map[int64]*rollout.Evaluator{}
 	s.incarnation = rand.Int64()
 }
 
@@ -87,21 +87,21 @@
 
 // applyTrafficSplits works out where requests may go; it runs on the desk.
 func (t *Server) applyTrafficSplits() {
-	lanes, versions, watches := map[string]*rollout.Lane{}, map[string][]string{}, map[string]observedRollout{}
+	lanes, versions, watches := map[string]*rollout.TrafficSplit{}, map[string][]string{}, map[string]observedRollout{}
 	if t.table != nil {
 		for service, first := range t.table.InitialVersions {
-			lanes[service] = &rollout.Lane{From: first}
+			lanes[service] = &rollout.TrafficSplit{FromVersion: first}
 		}
 	}
 	o, e := t.options.Rollout, t.host.RolloutExposure()
 	for service, r := range t.rollouts.orders {
-		l := &rollout.Lane{From: r.FromVersion, Target: r.TargetVersion, Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.TrialShare, TrialUntil: t.rollouts.trialUntil[r.OrderSlot], Halted: t.rollouts.halted[r.OrderSlot]}
-		if l.From == "" && lanes[service] != nil {
-			l.From = lanes[service].From
+		l := &rollout.TrafficSplit{FromVersion: r.FromVersion, TargetVersion: r.TargetVersion, Phase: r.Phase, CanaryShare: o.CanaryShare(e), TrialShare: o.TrialShare, TrialUntil: t.rollouts.trialUntil[r.OrderSlot], Halted: t.rollouts.halted[r.OrderSlot]}
+		if l.FromVersion == "" && lanes[service] != nil {
+			l.FromVersion = lanes[service].FromVersion
 		}
 		lanes[service] = l
 		if r.Running() {
-			watches[service] = observedRollout{r.OrderSlot, l.From, r.TargetVersion, t.countEndpoints(service, r.TargetVersion) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
+			watches[service] = observedRollout{r.OrderSlot, l.FromVersion, r.TargetVersion, t.countEndpoints(service, r.TargetVersion) > maxTrackedEndpoints, time.Duration(r.DurationMs) * time.Millisecond}
 		}
 	}
 	for service, l := range lanes {
@@ -117,7 +117,7 @@
 	gone := func(order int64) bool { return !runs[order] }
 	maps.DeleteFunc(t.rollouts.trialUntil, func(order int64, _ time.Duration) bool { return gone(order) })
 	maps.DeleteFunc(t.rollouts.halted, func(order int64, _ bool) bool { return gone(order) })
-	maps.DeleteFunc(t.rollouts.evaluators, func(order int64, _ *rollout.Judge) bool { return gone(order) })
+	maps.DeleteFunc(t.rollouts.evaluators, func(order int64, _ *rollout.Evaluator) bool { return gone(order) })
 }
 
 // maxTrackedEndpoints is how many searchers of a new version are told apart one by one.
@@ -137,13 +137,13 @@
 
 // PickEndpoint picks a searcher for a request of this node's own, as its lane allows.
 func (t *Server) PickEndpoint(service string, aim time.Duration) (*upstream.Endpoint, time.Time) {
-	var l *rollout.Lane
+	var l *rollout.TrafficSplit
 	if s := t.frontend.Snapshot(); s != nil {
 		l = s.TrafficSplits[service]
 	}
 	now, heard := t.clock()
-	w := l.Way(now, heard, t.host.MajorityTimeout(), rand.Float64())
-	for i, version := range []string{w.Once, w.Then, w.Else} {
+	w := l.Route(now, heard, t.host.MajorityTimeout(), rand.Float64())
+	for i, version := range []string{w.Canary, w.Primary, w.Fallback} {
 		if version == "" && i != 1 {
 			continue
 		}
@@ -164,10 +164,10 @@
 	if !ok || p.Version != w.from && p.Version != w.target {
 		return
 	}
-	c := rollout.Cell{Order: w.order, New: p.Version == w.target, Route: r.Route, Far: p.Distance()}
-	if c.New {
-		if c.Who = p.Ordinal; w.aggregateEndpoints {
-			c.Who = p.Ordinal % maxTrackedEndpoints
+	c := rollout.Cell{OrderSlot: w.order, Target: p.Version == w.target, Route: r.Route, Distance: p.Distance()}
+	if c.Target {
+		if c.Endpoint = p.Ordinal; w.aggregateEndpoints {
+			c.Endpoint = p.Ordinal % maxTrackedEndpoints
 		}
 	}
 	if s, ok := attemptSample(o, r.LatencyTarget); ok {
@@ -177,18 +177,18 @@
 
 // attemptSample is what one try tells of a version. A try that had less time than the
 // aim tells nothing by its end.
-func attemptSample(o *upstream.Attempt, aim time.Duration) (rollout.Sum, bool) {
+func attemptSample(o *upstream.Attempt, aim time.Duration) (rollout.Sample, bool) {
 	late := errors.Is(o.Err, os.ErrDeadlineExceeded) || errors.Is(o.Err, context.DeadlineExceeded) || o.Status == 504
 	if late && o.Duration < aim {
-		return rollout.Sum{}, false
+		return rollout.Sample{}, false
 	}
-	s := rollout.Sum{N: 1}
+	s := rollout.Sample{Attempts: 1}
 	switch {
 	case o.Outcome != upstream.OutcomeAnswered || o.Status >= 500 || o.Status < 300 && o.Stamp == "":
-		s.Bad = 1
+		s.Failures = 1
 	case !o.WarmingUp && o.Duration > 0:
 		x := math.Log(float64(o.Duration) / float64(time.Millisecond))
-		s.Timed, s.Log, s.Square = 1, x, x*x
+		s.Timed, s.LogLatency, s.LogLatencySquared = 1, x, x*x
 	}
 	return s, true
 }
@@ -224,7 +224,7 @@
 		if to == "" || t.host.Client.CallJSON(t.host.Settings().InternalAddress(to), nodeapi.PathRolloutReport, m, nil, t.host.Heartbeats(0.5)) != nil {
 			// It goes with the next, to whoever is watched first by then.
 			for _, e := range m.Entries {
-				t.rollouts.unsent.Record(e.Cell, e.Sum)
+				t.rollouts.unsent.Record(e.Cell, e.Sample)
 			}
 		}
 	}
@@ -234,11 +234,11 @@
 // whether its charts signal against any. It runs on the server's loop.
 func (t *Server) evidence() (out []rollout.FrontEvidence, alarm bool) {
 	for order, evaluator := range t.rollouts.evaluators {
-		if evaluator.New+evaluator.Old == 0 {
+		if evaluator.NewAttempts+evaluator.OldAttempts == 0 {
 			continue
 		}
 		halted := t.rollouts.halted[order]
-		out = append(out, rollout.FrontEvidence{Order: order, New: evaluator.New, Good: evaluator.Good, Old: evaluator.Old, Alarm: halted})
+		out = append(out, rollout.FrontEvidence{OrderSlot: order, New: evaluator.NewAttempts, Good: evaluator.GoodAnswers, Old: evaluator.OldAttempts, Alarm: halted})
 		alarm = alarm || halted
 	}
 	return out, alarm
@@ -251,15 +251,15 @@
 	for service, w := range *t.rollouts.observed.Load() {
 		j := t.rollouts.evaluators[w.order]
 		if j == nil {
-			j = rollout.NewJudge(t.options.Rollout, w.term, now)
+			j = rollout.NewEvaluator(t.options.Rollout, w.term, now)
 			t.rollouts.evaluators[w.order] = j
 		}
-		j.Loaded = t.rollouts.orders[service].Phase != consensus.PhaseCanary
+		j.UnderLoad = t.rollouts.orders[service].Phase != consensus.PhaseCanary
 		j.Add(byOrder[w.order])
 		j.Step(now)
-		if j.Bad() != "" && !t.rollouts.halted[w.order] {
+		if j.Finding() != "" && !t.rollouts.halted[w.order] {
 			t.rollouts.halted[w.order] = true
-			events.Log(events.CanaryHalted, "service", service, "version", w.target, "why", j.Bad())
+			events.Log(events.CanaryHalted, "service", service, "version", w.target, "why", j.Finding())
 			t.applyTrafficSplits()
 			t.publish()
 		}
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -26,12 +26,12 @@
 	// those with a slot.
 	Holders map[string]map[string][]string
 	// TrafficSplits says to which versions of a service's searchers requests may go.
-	TrafficSplits map[string]*rollout.Lane
+	TrafficSplits map[string]*rollout.TrafficSplit
 }
 
 // leg is the part of a gathered request that goes to a shard: to its holders
 // and to nobody else, even where there are none.
-func (s *Snapshot) leg(shard string, w rollout.Way) *scatter.ShardRequest {
+func (s *Snapshot) leg(shard string, w rollout.VersionChoice) *scatter.ShardRequest {
 	return s.make(shard, w, func(version string) []string {
 		if l := s.Holders[shard][version]; l != nil {
 			return l
@@ -41,38 +41,38 @@
 }
 
 // alone is the one part of a request to a single service: any searcher will do.
-func (s *Snapshot) alone(service string, w rollout.Way) *scatter.ShardRequest {
+func (s *Snapshot) alone(service string, w rollout.VersionChoice) *scatter.ShardRequest {
 	return s.make(service, w, func(string) []string { return nil })
 }
 
-func (s *Snapshot) make(service string, w rollout.Way, holders func(version string) []string) *scatter.ShardRequest {
-	l := &scatter.ShardRequest{Service: service, Version: w.Then, Holders: holders(w.Then)}
-	if w.Once != "" {
-		l.Canary = &upstream.Selector{Service: service, Version: w.Once, IDs: holders(w.Once)}
+func (s *Snapshot) make(service string, w rollout.VersionChoice, holders func(version string) []string) *scatter.ShardRequest {
+	l := &scatter.ShardRequest{Service: service, Version: w.Primary, Holders: holders(w.Primary)}
+	if w.Canary != "" {
+		l.Canary = &upstream.Selector{Service: service, Version: w.Canary, IDs: holders(w.Canary)}
 	}
-	if w.Else != "" {
-		l.Fallback = &upstream.Selector{Service: service, Version: w.Else, IDs: holders(w.Else)}
+	if w.Fallback != "" {
+		l.Fallback = &upstream.Selector{Service: service, Version: w.Fallback, IDs: holders(w.Fallback)}
 	}
 	return l
 }
 
 // way draws to which version of a service's searchers one request goes.
-func (h *Handler) way(s *Snapshot, service string) rollout.Way {
+func (h *Handler) way(s *Snapshot, service string) rollout.VersionChoice {
 	l := s.TrafficSplits[service]
 	if l == nil {
-		return rollout.Way{}
+		return rollout.VersionChoice{}
 	}
 	if l.Settled() {
-		return l.Way(0, 0, 0, 0)
+		return l.Route(0, 0, 0, 0)
 	}
 	now, heard := h.opt.Clock()
-	return l.Way(now, heard, h.opt.MajorityTimeout, rand.Float64())
+	return l.Route(now, heard, h.opt.MajorityTimeout, rand.Float64())
 }
 
 // steadyWay is the way of a request that another front counts: no canary.
-func (h *Handler) steadyWay(s *Snapshot, service string) rollout.Way {
+func (h *Handler) steadyWay(s *Snapshot, service string) rollout.VersionChoice {
 	w := h.way(s, service)
-	w.Once = ""
+	w.Canary = ""
 	return w
 }
 
--- a/internal/host/options.go
+++ b/internal/host/options.go
@@ -118,5 +118,5 @@
 			return err
 		}
 	}
-	return o.Rollout.Check()
+	return o.Rollout.Validate()
 }
--- a/internal/rollout/belay_test.go
+++ b/internal/rollout/belay_test.go
@@ -29,7 +29,7 @@
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	o, e := DefaultOptions(), Exposure{Share: 0.1, Slack: 50}
 	r := consensus.Rollout{OrderSlot: 1, Service: "s", FromVersion: "v1", TargetVersion: "v2", DurationMs: 16000, Phase: consensus.PhaseCanary}
-	j := NewJudge(o, 16*time.Second, 0)
+	j := NewEvaluator(o, 16*time.Second, 0)
 	const tick = 180 * time.Millisecond
 	speeds := []float64{0.8, 1, 1.3, 1}
 	since := time.Duration(0)
@@ -40,9 +40,9 @@
 			if rnd.Float64() < 0.3 {
 				route = "b"
 			}
-			lane := &Lane{From: "v1", Target: "v2", Phase: r.Phase, Share: o.CanaryShare(e), Trial: o.TrialShare, TrialUntil: since + time.Duration(r.TrialMs)*time.Millisecond}
-			w := lane.Way(now, 0, time.Second, rnd.Float64())
-			isNew := w.Once == "v2" || w.Then == "v2"
+			lane := &TrafficSplit{FromVersion: "v1", TargetVersion: "v2", Phase: r.Phase, CanaryShare: o.CanaryShare(e), TrialShare: o.TrialShare, TrialUntil: since + time.Duration(r.TrialMs)*time.Millisecond}
+			w := lane.Route(now, 0, time.Second, rnd.Float64())
+			isNew := w.Canary == "v2" || w.Primary == "v2"
 			who := rnd.IntN(4)
 			fails, slower := 0.002, 1.0
 			if p.world != nil {
@@ -58,24 +58,24 @@
 					fails, slower = max(fails, f), slower*s
 				}
 			}
-			c := Entry{Cell: Cell{Order: 1, New: isNew, Route: route, Far: far}, Sum: Sum{N: 1}}
+			c := Entry{Cell: Cell{OrderSlot: 1, Target: isNew, Route: route, Distance: far}, Sample: Sample{Attempts: 1}}
 			if isNew {
-				c.Who = int64(who + 1)
+				c.Endpoint = int64(who + 1)
 			}
 			if rnd.Float64() < fails {
-				c.Sum.Bad = 1
+				c.Sample.Failures = 1
 			} else if !isNew || now > 3*time.Second {
 				x := math.Log((7.5*speeds[who]*math.Exp(0.5*rnd.NormFloat64()) + 2*float64(far) + 1) * slower)
-				c.Sum.Timed, c.Sum.Log, c.Sum.Square = 1, x, x*x
+				c.Sample.Timed, c.Sample.LogLatency, c.Sample.LogLatencySquared = 1, x, x*x
 			}
 			seen = append(seen, c)
 		}
-		j.Loaded = r.Phase != consensus.PhaseCanary
+		j.UnderLoad = r.Phase != consensus.PhaseCanary
 		j.Add(seen)
 		j.Step(now)
-		s := Decide(Facts{Rollout: r, Spent: now, Since: now - since, Bad: j.Bad(), Rate: j.Rate(now), New: j.New, Good: j.Good, Ready: 8, Old: 8, Report: 700 * time.Millisecond, Settle: 2 * time.Second}, o, e)
+		s := Decide(Facts{Rollout: r, Elapsed: now, PhaseAge: now - since, Finding: j.Finding(), RequestRate: j.RequestRate(now), New: j.NewAttempts, GoodAnswers: j.GoodAnswers, ReadySlots: 8, OldSlots: 8, ReportDelay: 700 * time.Millisecond, SettleTimeout: 2 * time.Second}, o, e)
 		if s.Phase != "" {
-			r.Phase, r.TrialMs, since = s.Phase, s.For.Milliseconds(), now
+			r.Phase, r.TrialMs, since = s.Phase, s.TrialDuration.Milliseconds(), now
 		}
 		if !r.Running() {
 			return r.Phase, now, asked
@@ -181,19 +181,19 @@
 		e := Exposure{Share: 0.1, Slack: 50}
 		rate, term := 5+500*rnd.Float64(), time.Duration(8+20*rnd.Float64())*time.Second
 		r := consensus.Rollout{DurationMs: term.Milliseconds()}
-		trial := o.trialFor(Facts{Rollout: r, Rate: rate}, term, e)
+		trial := o.trialFor(Facts{Rollout: r, RequestRate: rate}, term, e)
 		begins := term * 6 / 10
 		asked, all := 0, 0
 		// 300 fronts: with many, each has a request in a second or two.
 		for range 300 {
 			learns := begins + time.Duration(rnd.Float64()*float64(400*time.Millisecond))
 			for at := time.Duration(0); at < term; at += time.Duration(rnd.ExpFloat64() * 300 / rate * float64(time.Second)) {
-				l := &Lane{From: "a", Target: "b", Phase: consensus.PhaseCanary, Share: o.CanaryShare(e), Trial: o.TrialShare, TrialUntil: learns + trial}
+				l := &TrafficSplit{FromVersion: "a", TargetVersion: "b", Phase: consensus.PhaseCanary, CanaryShare: o.CanaryShare(e), TrialShare: o.TrialShare, TrialUntil: learns + trial}
 				if at > learns {
 					l.Phase = consensus.PhaseTrial
 				}
 				all++
-				if l.Way(at, 0, time.Second, rnd.Float64()).Once != "" {
+				if l.Route(at, 0, time.Second, rnd.Float64()).Canary != "" {
 					asked++
 				}
 			}
@@ -210,52 +210,54 @@
 		heard  time.Duration
 		halted bool
 		coin   float64
-		want   Way
+		want   VersionChoice
 	}{
-		{"", 0, false, 0, Way{Then: "old"}},
-		{consensus.PhaseCanary, 0, false, 0.05, Way{Once: "new", Then: "old"}},
-		{consensus.PhaseCanary, 0, false, 0.07, Way{Then: "old"}},
-		{consensus.PhaseCanary, 3, false, 0, Way{Then: "old"}}, // hears of no majority
-		{consensus.PhaseCanary, 0, true, 0, Way{Then: "old"}},
-		{consensus.PhaseTrial, 0, false, 0.8, Way{Once: "new", Then: "old"}},
-		{consensus.PhaseTrial, 3, false, 0.8, Way{Then: "old"}},
-		{consensus.PhasePromote, 0, true, 0, Way{Then: "new", Else: "old"}},
-		{consensus.PhasePromote, 9, false, 0, Way{Then: "old", Else: "new"}},
-		{consensus.PhaseCompleted, 9, false, 0, Way{Then: "new"}},
-		{consensus.PhaseRolledBack, 0, false, 0, Way{Then: "old"}},
+		{"", 0, false, 0, VersionChoice{Primary: "old"}},
+		{consensus.PhaseCanary, 0, false, 0.05, VersionChoice{Canary: "new", Primary: "old"}},
+		{consensus.PhaseCanary, 0, false, 0.07, VersionChoice{Primary: "old"}},
+		{consensus.PhaseCanary, 3, false, 0, VersionChoice{Primary: "old"}}, // hears of no majority
+		{consensus.PhaseCanary, 0, true, 0, VersionChoice{Primary: "old"}},
+		{consensus.PhaseTrial, 0, false, 0.8, VersionChoice{Canary: "new", Primary: "old"}},
+		{consensus.PhaseTrial, 3, false, 0.8, VersionChoice{Primary: "old"}},
+		{consensus.PhasePromote, 0, true, 0, VersionChoice{Primary: "new", Fallback: "old"}},
+		{consensus.PhasePromote, 9, false, 0, VersionChoice{Primary: "old", Fallback: "new"}},
+		{consensus.PhaseCompleted, 9, false, 0, VersionChoice{Primary: "new"}},
+		{consensus.PhaseRolledBack, 0, false, 0, VersionChoice{Primary: "old"}},
 	} {
-		l := &Lane{From: "old", Target: "new", Phase: x.phase, Share: 0.06, Trial: 0.9, TrialUntil: 5, Halted: x.halted}
-		if got := l.Way(1, x.heard, 2, x.coin); got != x.want {
+		l := &TrafficSplit{FromVersion: "old", TargetVersion: "new", Phase: x.phase, CanaryShare: 0.06, TrialShare: 0.9, TrialUntil: 5, Halted: x.halted}
+		if got := l.Route(1, x.heard, 2, x.coin); got != x.want {
 			t.Errorf("%+v: %+v", x, got)
 		}
 	}
-	l := &Lane{From: "old", Target: "new", Phase: consensus.PhaseTrial, Share: 0.06, Trial: 0.9, TrialUntil: 5}
-	if l.Way(6, 0, 2, 0.8).Once != "" || l.Way(6, 0, 2, 0.05).Once == "" {
+	l := &TrafficSplit{FromVersion: "old", TargetVersion: "new", Phase: consensus.PhaseTrial, CanaryShare: 0.06, TrialShare: 0.9, TrialUntil: 5}
+	if l.Route(6, 0, 2, 0.8).Canary != "" || l.Route(6, 0, 2, 0.05).Canary == "" {
 		t.Error("a trial that is over leaves another share than the canary's")
 	}
-	if (*Lane)(nil).Way(0, 0, 0, 0) != (Way{}) || (*Lane)(nil).Versions() != nil {
+	if (*TrafficSplit)(nil).Route(0, 0, 0, 0) != (VersionChoice{}) || (*TrafficSplit)(nil).Versions() != nil {
 		t.Error("a service without a lane")
 	}
 }
 
 func TestDecide(t *testing.T) {
-	good := Facts{Rollout: consensus.Rollout{OrderSlot: 1, DurationMs: 16000}, Rate: 100, New: 50, Good: 50, Ready: 8, Old: 8, Report: time.Second, Settle: 2 * time.Second, Since: 3 * time.Second}
+	good := Facts{Rollout: consensus.Rollout{OrderSlot: 1, DurationMs: 16000}, RequestRate: 100, New: 50, GoodAnswers: 50, ReadySlots: 8, OldSlots: 8, ReportDelay: time.Second, SettleTimeout: 2 * time.Second, PhaseAge: 3 * time.Second}
 	for name, x := range map[string]struct {
 		change func(f *Facts)
 		want   consensus.Phase
 	}{
-		"too early":              {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhaseCanary, 7*time.Second }, ""},
-		"trial":                  {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhaseCanary, 10*time.Second }, consensus.PhaseTrial},
-		"no searchers yet":       {func(f *Facts) { f.Rollout.Phase, f.Spent, f.Ready = consensus.PhaseCanary, 10*time.Second, 3 }, ""},
-		"an alarm":               {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhaseCanary, "x" }, consensus.PhaseRolledBack},
-		"an alarm while moving":  {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhasePromote, "x" }, consensus.PhaseRolledBack},
-		"the term is over":       {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhaseTrial, 16*time.Second }, consensus.PhaseRolledBack},
-		"it moves at the term":   {func(f *Facts) { f.Rollout.Phase, f.Spent = consensus.PhasePromote, 16*time.Second }, consensus.PhaseCompleted},
-		"reports are on the way": {func(f *Facts) { f.Rollout.Phase, f.Since = consensus.PhaseTrial, 500*time.Millisecond }, ""},
-		"none was answered":      {func(f *Facts) { f.Rollout.Phase, f.Good = consensus.PhaseTrial, 0 }, ""},
+		"too early":              {func(f *Facts) { f.Rollout.Phase, f.Elapsed = consensus.PhaseCanary, 7*time.Second }, ""},
+		"trial":                  {func(f *Facts) { f.Rollout.Phase, f.Elapsed = consensus.PhaseCanary, 10*time.Second }, consensus.PhaseTrial},
+		"no searchers yet":       {func(f *Facts) { f.Rollout.Phase, f.Elapsed, f.ReadySlots = consensus.PhaseCanary, 10*time.Second, 3 }, ""},
+		"an alarm":               {func(f *Facts) { f.Rollout.Phase, f.Finding = consensus.PhaseCanary, "x" }, consensus.PhaseRolledBack},
+		"an alarm while moving":  {func(f *Facts) { f.Rollout.Phase, f.Finding = consensus.PhasePromote, "x" }, consensus.PhaseRolledBack},
+		"the term is over":       {func(f *Facts) { f.Rollout.Phase, f.Elapsed = consensus.PhaseTrial, 16*time.Second }, consensus.PhaseRolledBack},
+		"it moves at the term":   {func(f *Facts) { f.Rollout.Phase, f.Elapsed = consensus.PhasePromote, 16*time.Second }, consensus.PhaseCompleted},
+		"reports are on the way": {func(f *Facts) { f.Rollout.Phase, f.PhaseAge = consensus.PhaseTrial, 500*time.Millisecond }, ""},
+		"none was answered":      {func(f *Facts) { f.Rollout.Phase, f.GoodAnswers = consensus.PhaseTrial, 0 }, ""},
 		"promote":                {func(f *Facts) { f.Rollout.Phase = consensus.PhaseTrial }, consensus.PhasePromote},
-		"fronts lag behind":      {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.PhasePromote, 1500*time.Millisecond, 1 }, ""},
-		"lagging fronts give up": {func(f *Facts) { f.Rollout.Phase, f.Since, f.Behind = consensus.PhasePromote, 2*time.Second, 1 }, consensus.PhaseCompleted},
+		"fronts lag behind": {func(f *Facts) {
+			f.Rollout.Phase, f.PhaseAge, f.LaggingNodes = consensus.PhasePromote, 1500*time.Millisecond, 1
+		}, ""},
+		"lagging fronts give up": {func(f *Facts) { f.Rollout.Phase, f.PhaseAge, f.LaggingNodes = consensus.PhasePromote, 2*time.Second, 1 }, consensus.PhaseCompleted},
 		"most fronts' alarms": {func(f *Facts) {
 			f.Rollout.Phase, f.Evidence = consensus.PhaseCanary, Evidence{Fronts: 2, Alarms: 2, New: 8, Old: 300}
 		}, consensus.PhaseRolledBack},
@@ -263,26 +265,26 @@
 			f.Rollout.Phase, f.Evidence = consensus.PhaseCanary, Evidence{Fronts: 2, Alarms: 1, New: 8, Old: 300}
 		}, ""},
 		"no traffic": {func(f *Facts) {
-			f.Rollout.Phase, f.Spent, f.Rate, f.New, f.Good = consensus.PhaseCanary, 10*time.Second, 0, 0, 0
+			f.Rollout.Phase, f.Elapsed, f.RequestRate, f.New, f.GoodAnswers = consensus.PhaseCanary, 10*time.Second, 0, 0, 0
 		}, consensus.PhaseTrial},
 		"little traffic": {func(f *Facts) {
-			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, Old: 100}
+			f.Rollout.Phase, f.Elapsed, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, Old: 100}
 		}, consensus.PhaseTrial},
 		"requests and no answers": {func(f *Facts) {
-			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 3, Old: 1500}
+			f.Rollout.Phase, f.Elapsed, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 3, Old: 1500}
 		}, ""},
 		"few answers at its term": {func(f *Facts) {
-			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 15500*time.Millisecond, Evidence{Fronts: 2, New: 3, Old: 1500}
+			f.Rollout.Phase, f.Elapsed, f.Evidence = consensus.PhaseCanary, 15500*time.Millisecond, Evidence{Fronts: 2, New: 3, Old: 1500}
 		}, consensus.PhaseRolledBack},
 		"requests and answers": {func(f *Facts) {
-			f.Rollout.Phase, f.Spent, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 30, Good: 29, Old: 1500}
+			f.Rollout.Phase, f.Elapsed, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 30, Good: 29, Old: 1500}
 		}, consensus.PhaseTrial},
-		"a successor has not heard all": {func(f *Facts) { f.Rollout.Phase, f.Spent, f.Successor = consensus.PhaseCanary, 10*time.Second, true }, ""},
+		"a successor has not heard all": {func(f *Facts) { f.Rollout.Phase, f.Elapsed, f.Successor = consensus.PhaseCanary, 10*time.Second, true }, ""},
 		"those that spoke first are not most": {func(f *Facts) {
 			f.Rollout.Phase, f.Successor, f.Evidence = consensus.PhaseCanary, true, Evidence{Fronts: 1, Alarms: 1, New: 4, Old: 50}
 		}, ""},
 		"nor in the trial": {func(f *Facts) { f.Rollout.Phase, f.Successor = consensus.PhaseTrial, true }, ""},
-		"settled":          {func(f *Facts) { f.Rollout.Phase, f.Bad = consensus.PhaseCompleted, "x" }, ""},
+		"settled":          {func(f *Facts) { f.Rollout.Phase, f.Finding = consensus.PhaseCompleted, "x" }, ""},
 	} {
 		f := good
 		x.change(&f)
@@ -294,33 +296,35 @@
 
 func TestClockNeverGivesTime(t *testing.T) {
 	wall := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	c := NewClock(Noted{}, wall, 0)
-	c.Hear(7, 0, 0)
-	c.Hear(7, 2*time.Second, 5*time.Second) // another node that knows less
-	if got := c.Spent(7, 6*time.Second); got != 6*time.Second {
+	c := NewTermClock(TermRecord{}, wall, 0)
+	c.AtLeast(7, 0, 0)
+	c.AtLeast(7, 2*time.Second, 5*time.Second) // another node that knows less
+	if got := c.Elapsed(7, 6*time.Second); got != 6*time.Second {
 		t.Fatalf("spent %v", got)
 	}
-	c.Hear(7, 8*time.Second, 6*time.Second) // and one that knows more
-	n := c.Note(func(int64) bool { return true }, wall, 6*time.Second)
+	c.AtLeast(7, 8*time.Second, 6*time.Second) // and one that knows more
+	n := c.Record(func(int64) bool { return true }, wall, 6*time.Second)
 	for at, want := range map[time.Duration]time.Duration{3 * time.Second: 11 * time.Second, -time.Hour: 8 * time.Second, time.Hour: time.Hour + 8*time.Second} {
-		if got := NewClock(n, wall.Add(at), 0).Spent(7, 0); got != want {
+		if got := NewTermClock(n, wall.Add(at), 0).Elapsed(7, 0); got != want {
 			t.Errorf("back after %v by the time of day: %v of the term are over, want %v", at, got, want)
 		}
 	}
-	if n := c.Note(func(int64) bool { return false }, wall, 0); len(n.Spent) != 0 {
+	if n := c.Record(func(int64) bool { return false }, wall, 0); len(n.ElapsedMs) != 0 {
 		t.Error("a settled order is kept")
 	}
 }
 
 func TestLedgerMerges(t *testing.T) {
 	l := NewAggregator()
-	e := func(n, bad int64) []Entry { return []Entry{{Cell{Order: 1, Route: "a"}, Sum{N: n, Bad: bad}}} }
+	e := func(n, bad int64) []Entry {
+		return []Entry{{Cell{OrderSlot: 1, Route: "a"}, Sample{Attempts: n, Failures: bad}}}
+	}
 	sum := func(l []Entry) string {
-		s := Sum{}
+		s := Sample{}
 		for _, x := range l {
-			s = s.Plus(x.Sum)
+			s = s.Plus(x.Sample)
 		}
-		return fmt.Sprintf("%d / %d", s.N, s.Bad)
+		return fmt.Sprintf("%d / %d", s.Attempts, s.Failures)
 	}
 	for i, x := range []struct {
 		life, seq int64
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -4,7 +4,7 @@
 // front reports it whole each time, so whoever takes the lease over learns it
 // from the fronts and does not depend on what an earlier holder was told.
 type FrontEvidence struct {
-	Order int64 `json:"O"`
+	OrderSlot int64 `json:"O"`
 	// New and Old count the attempts at each version; Good counts those at
 	// the new one that were no failures.
 	New  int64 `json:"N,omitempty"`
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Check tells which option is out of its range.
-func (o Options) Check() error {
+// Validate tells which option is out of its range.
+func (o Options) Validate() error {
 	if o.SubgroupSize < 1 || o.SubgroupSize > 1000 {
 		return fmt.Errorf("--chart-subgroup-size is %d: it must be between 1 and 1000", o.SubgroupSize)
 	}
@@ -55,19 +55,19 @@
 			return fmt.Errorf("--%s is %v: it must be between %v and %v", r.name, r.v, r.least, r.most)
 		}
 	}
-	return o.Chart.Check()
+	return o.Chart.Validate()
 }
 
 // The floors under what the old version shows: no process is steadier.
 const (
-	floorSpread   = 0.3  // of the logarithm of latency
-	floorFailures = 0.03 // the share of failures
-	betweenSpread = 0.2  // between one searcher and another, of the logarithm
-	fewOld        = 8    // answers of the old version without which there is no baseline
+	minLatencySpread   = 0.3  // of the logarithm of latency
+	minFailureShare    = 0.03 // the share of failures
+	endpointSpread     = 0.2  // between one searcher and another, of the logarithm
+	minBaselineAnswers = 8    // answers of the old version without which there is no baseline
 )
 
-// stream is one chart's line: a metric on one route, or on all ("").
-type stream struct {
+// chartKey is one chart's line: a metric on one route, or on all ("").
+type chartKey struct {
 	metric string
 	route  string
 }
@@ -78,113 +78,113 @@
 	metricLatency  = "latency"
 )
 
-// whoSeen is how one searcher of the new version did lately, beside what was
+// endpointScore is how one searcher of the new version did lately, beside what was
 // allowed, and how much that spreads by chance.
-type whoSeen struct{ n, excess, variance float64 }
+type endpointScore struct{ samples, excess, variance float64 }
 
-type line struct {
+type metricChart struct {
 	chart cusum.Chart
-	// fresh is the new version's subgroup being collected, by distance and searcher.
-	fresh map[place]Sum
-	// beside is the old version over the same moments, recent over a longer while.
-	beside, recent map[int]weighed
-	who            map[int64]whoSeen
+	// subgroup is the new version's subgroup being collected, by distance and searcher.
+	subgroup map[subgroupKey]Sample
+	// concurrent is the old version over the same moments, recent over a longer while.
+	concurrent, recent map[int]decayed
+	endpoints          map[int64]endpointScore
 }
 
-type place struct {
-	far int
-	who int64
+type subgroupKey struct {
+	distance int
+	endpoint int64
 }
 
 // Alarm is a signal of a chart.
 type Alarm struct {
 	Metric, Route string
-	// Bad: it speaks against the new version, and most of its searchers bear it out.
-	Bad bool
+	// Confirmed: it speaks against the new version, and most of its searchers bear it out.
+	Confirmed bool
 	// Better: the new version does better than the old one.
 	Better bool
 }
 
-// Judge runs the charts of one order. It has one owner.
-type Judge struct {
-	opt   Options
-	lines map[stream]*line
-	last  time.Duration
-	// fade is how long what was seen keeps its weight.
-	fade time.Duration
-	// Loaded: the new version has just got most of the requests. Connections
+// Evaluator runs the charts of one order. It has one owner.
+type Evaluator struct {
+	options   Options
+	charts    map[chartKey]*metricChart
+	steppedAt time.Duration
+	// decayTime is how long what was seen keeps its weight.
+	decayTime time.Duration
+	// UnderLoad: the new version has just got most of the requests. Connections
 	// to it are being opened and nobody knows its queues yet, so its answers may
 	// take longer than allowed by as much again.
-	Loaded bool
-	bad    string
-	// New and Old count the tries seen of each version, Good the new one's that were no failures.
-	New, Old, Good int64
-	first          time.Duration
+	UnderLoad bool
+	finding   string
+	// NewAttempts and Old count the tries seen of each version, Good the new one's that were no failures.
+	NewAttempts, OldAttempts, GoodAnswers int64
+	startedAt                             time.Duration
 }
 
-// NewJudge starts at now for an order with that term.
-func NewJudge(o Options, term, now time.Duration) *Judge {
-	return &Judge{opt: o, lines: map[stream]*line{}, last: now, first: now, fade: max(term/5, time.Millisecond)}
+// NewEvaluator starts at now for an order with that term.
+func NewEvaluator(o Options, term, now time.Duration) *Evaluator {
+	return &Evaluator{options: o, charts: map[chartKey]*metricChart{}, steppedAt: now, startedAt: now, decayTime: max(term/5, time.Millisecond)}
 }
 
-// Bad tells what was found against the new version, if anything was.
-func (j *Judge) Bad() string { return j.bad }
+// Finding tells what was found against the new version, if anything was.
+func (j *Evaluator) Finding() string { return j.finding }
 
-// Rate is how many tries a second were seen of both versions.
-func (j *Judge) Rate(now time.Duration) float64 {
-	return float64(j.New+j.Old) / max(0.5, (now-j.first).Seconds())
+// RequestRate is how many tries a second were seen of both versions.
+func (j *Evaluator) RequestRate(now time.Duration) float64 {
+	return float64(j.NewAttempts+j.OldAttempts) / max(0.5, (now-j.startedAt).Seconds())
 }
 
 // Add takes what was seen since the last call.
-func (j *Judge) Add(entries []Entry) {
+func (j *Evaluator) Add(entries []Entry) {
 	for _, e := range entries {
-		if e.New {
-			j.New += e.Sum.N
-			j.Good += e.Sum.N - e.Sum.Bad
+		if e.Target {
+			j.NewAttempts += e.Sample.Attempts
+			j.GoodAnswers += e.Sample.Attempts - e.Sample.Failures
 		} else {
-			j.Old += e.Sum.N
+			j.OldAttempts += e.Sample.Attempts
 		}
 		for _, route := range []string{e.Route, ""} {
-			if j.opt.ChartFailures {
-				j.line(stream{metricFailures, route}).add(e)
+			if j.options.ChartFailures {
+				j.chart(chartKey{metricFailures, route}).add(e)
 			}
-			if j.opt.ChartLatency {
-				j.line(stream{metricLatency, route}).add(e)
+			if j.options.ChartLatency {
+				j.chart(chartKey{metricLatency, route}).add(e)
 			}
 		}
 	}
 }
 
-func (j *Judge) line(s stream) *line {
-	l := j.lines[s]
+func (j *Evaluator) chart(s chartKey) *metricChart {
+	l := j.charts[s]
 	if l == nil {
-		l = &line{fresh: map[place]Sum{}, beside: map[int]weighed{}, recent: map[int]weighed{}, who: map[int64]whoSeen{}}
-		j.lines[s] = l
+		l = &metricChart{subgroup: map[subgroupKey]Sample{}, concurrent: map[int]decayed{}, recent: map[int]decayed{}, endpoints: map[int64]endpointScore{}}
+		j.charts[s] = l
 	}
 	return l
 }
 
-func (l *line) add(e Entry) {
-	if e.New {
-		at := place{e.Far, e.Who}
-		l.fresh[at] = l.fresh[at].Plus(e.Sum)
+func (l *metricChart) add(e Entry) {
+	if e.Target {
+		at := subgroupKey{e.Distance, e.Endpoint}
+		l.subgroup[at] = l.subgroup[at].Plus(e.Sample)
 		return
 	}
-	l.beside[e.Far] = l.beside[e.Far].plus(e.Sum.scaled(1))
+	l.concurrent[e.Distance] = l.concurrent[e.Distance].plus(e.Sample.scaled(1))
 }
 
 // Step closes the subgroups that are full and gives what their charts signal.
-func (j *Judge) Step(now time.Duration) (alarms []Alarm) {
-	w := math.Exp(-float64(now-j.last) / float64(j.fade))
-	j.last = now
-	var streams []stream
-	for s, l := range j.lines {
+func (j *Evaluator) Step(now time.Duration) (alarms []Alarm) {
+	w := math.Exp(-float64(now-j.steppedAt) / float64(j.decayTime))
+	j.steppedAt = now
+	var streams []chartKey
+	for s, l := range j.charts {
 		streams = append(streams, s)
 		for far := range l.recent {
 			l.recent[far] = l.recent[far].times(w)
 		}
-		for who, x := range l.who {
-			l.who[who] = whoSeen{x.n * w, x.excess * w, x.variance * w}
+		for who, x := range l.endpoints {
+			l.endpoints[who] = endpointScore{x.samples * w, x.excess * w, x.variance * w}
 		}
 	}
 	sort.Slice(streams, func(a, b int) bool {
@@ -194,22 +194,22 @@
 		return streams[a].route < streams[b].route
 	})
 	for _, s := range streams {
-		l := j.lines[s]
+		l := j.charts[s]
 		var z float64
 		var ok bool
 		if s.metric == metricFailures {
-			z, ok = l.failures(j.opt)
+			z, ok = l.failures(j.options)
 		} else {
-			z, ok = l.latency(j.opt, j.Loaded)
+			z, ok = l.latency(j.options, j.UnderLoad)
 		}
 		if !ok {
 			continue
 		}
-		switch l.chart.Step(j.opt.Chart, z) {
+		switch l.chart.Step(j.options.Chart, z) {
 		case cusum.Above:
-			a := Alarm{Metric: s.metric, Route: s.route, Bad: l.most()}
-			if a.Bad && j.bad == "" {
-				j.bad = s.metric + " on " + routeName(s.route)
+			a := Alarm{Metric: s.metric, Route: s.route, Confirmed: l.confirmedByMost()}
+			if a.Confirmed && j.finding == "" {
+				j.finding = s.metric + " on " + routeName(s.route)
 			}
 			alarms = append(alarms, a)
 		case cusum.Below:
@@ -226,14 +226,14 @@
 	return "route " + r
 }
 
-// most tells whether more than half of the new version's searchers that were
+// confirmedByMost tells whether more than half of the new version's searchers that were
 // asked lately did worse than allowed, and all but the worst together too: one
 // that crashed, is cut off or slow by itself is no bad version.
-func (l *line) most() bool {
+func (l *metricChart) confirmedByMost() bool {
 	asked, worse := 0, 0
-	var whole, worst whoSeen
-	for _, x := range l.who {
-		if x.n < 0.5 {
+	var whole, worst endpointScore
+	for _, x := range l.endpoints {
+		if x.samples < 0.5 {
 			continue
 		}
 		asked++
@@ -248,20 +248,20 @@
 	return 2*worse > asked && (asked < 2 || whole.excess-worst.excess > math.Sqrt(whole.variance-worst.variance))
 }
 
-// end puts the closed subgroup's baseline with what is known of a longer while.
-func (l *line) end() {
-	for far, b := range l.beside {
+// closeSubgroup puts the closed subgroup's baseline with what is known of a longer while.
+func (l *metricChart) closeSubgroup() {
+	for far, b := range l.concurrent {
 		l.recent[far] = l.recent[far].plus(b)
 	}
-	clear(l.beside)
-	clear(l.fresh)
+	clear(l.concurrent)
+	clear(l.subgroup)
 }
 
-// old is the baseline at a distance: the same moments, and where these bring
+// baseline is the baseline at a distance: the same moments, and where these bring
 // too little, the while before as well.
-func (l *line) old(far int) weighed {
-	b := l.beside[far]
-	if b.timed < 2*fewOld {
+func (l *metricChart) baseline(far int) decayed {
+	b := l.concurrent[far]
+	if b.timed < 2*minBaselineAnswers {
 		b = b.plus(l.recent[far])
 	}
 	return b
@@ -270,82 +270,82 @@
 // failures closes a subgroup of the share of failures. The share that the old
 // version shows, and Worse more, stands for the mean, and what a share spreads
 // by chance for the spread.
-func (l *line) failures(o Options) (z float64, ok bool) {
+func (l *metricChart) failures(o Options) (z float64, ok bool) {
 	var n, bad int64
-	for _, s := range l.fresh {
-		n, bad = n+s.N, bad+s.Bad
+	for _, s := range l.subgroup {
+		n, bad = n+s.Attempts, bad+s.Failures
 	}
 	if n < int64(o.SubgroupSize) {
 		return 0, false
 	}
-	var old weighed
-	for far := range union(l.beside, l.recent) {
-		b := l.beside[far]
-		if b.n < 2*fewOld {
+	var old decayed
+	for far := range union(l.concurrent, l.recent) {
+		b := l.concurrent[far]
+		if b.attempts < 2*minBaselineAnswers {
 			b = b.plus(l.recent[far])
 		}
 		old = old.plus(b)
 	}
-	defer l.end()
-	p := min(0.9, max(floorFailures, old.bad/max(old.n, 1))+o.MaxExtraFailures)
-	for at, s := range l.fresh {
-		x := l.who[at.who]
-		l.who[at.who] = whoSeen{x.n + float64(s.N), x.excess + float64(s.Bad) - p*float64(s.N), x.variance + p*(1-p)*float64(s.N)}
+	defer l.closeSubgroup()
+	p := min(0.9, max(minFailureShare, old.failures/max(old.attempts, 1))+o.MaxExtraFailures)
+	for at, s := range l.subgroup {
+		x := l.endpoints[at.endpoint]
+		l.endpoints[at.endpoint] = endpointScore{x.samples + float64(s.Attempts), x.excess + float64(s.Failures) - p*float64(s.Attempts), x.variance + p*(1-p)*float64(s.Attempts)}
 	}
-	if old.n < fewOld {
+	if old.attempts < minBaselineAnswers {
 		// Nobody asks the old version: nothing stands beside, but failures are failures.
-		old.n = fewOld
+		old.attempts = minBaselineAnswers
 	}
-	return (float64(bad)/float64(n) - p) / math.Sqrt(p*(1-p)*(1/float64(n)+1/old.n)), true
+	return (float64(bad)/float64(n) - p) / math.Sqrt(p*(1-p)*(1/float64(n)+1/old.attempts)), true
 }
 
 // latency closes a subgroup of the logarithm of latency, each distance beside
 // the old version's answers over the same distance.
-func (l *line) latency(o Options, loaded bool) (z float64, ok bool) {
+func (l *metricChart) latency(o Options, loaded bool) (z float64, ok bool) {
 	var n int64
-	for _, s := range l.fresh {
+	for _, s := range l.subgroup {
 		n += s.Timed
 	}
 	if n < int64(o.SubgroupSize) {
 		return 0, false
 	}
-	defer l.end()
+	defer l.closeSubgroup()
 	allowed := math.Log(o.MaxLatencyRatio)
 	if loaded {
 		allowed *= 2
 	}
 	excess, variance, timed := 0.0, 0.0, 0.0
 	whos := map[int64]bool{}
-	byFar := map[int]Sum{}
-	for at, s := range l.fresh {
-		b := l.old(at.far)
-		if s.Timed == 0 || b.timed < fewOld {
+	byFar := map[int]Sample{}
+	for at, s := range l.subgroup {
+		b := l.baseline(at.distance)
+		if s.Timed == 0 || b.timed < minBaselineAnswers {
 			continue
 		}
-		byFar[at.far] = byFar[at.far].Plus(s)
-		whos[at.who] = true
-		x := l.who[at.who]
-		l.who[at.who] = whoSeen{x.n + float64(s.Timed), x.excess + s.Log - float64(s.Timed)*(b.mean()+allowed), x.variance + b.variance()*float64(s.Timed)}
+		byFar[at.distance] = byFar[at.distance].Plus(s)
+		whos[at.endpoint] = true
+		x := l.endpoints[at.endpoint]
+		l.endpoints[at.endpoint] = endpointScore{x.samples + float64(s.Timed), x.excess + s.LogLatency - float64(s.Timed)*(b.mean()+allowed), x.variance + b.variance()*float64(s.Timed)}
 	}
 	for far, s := range byFar {
-		b := l.old(far)
+		b := l.baseline(far)
 		k := float64(s.Timed)
-		excess += s.Log - k*(b.mean()+allowed)
+		excess += s.LogLatency - k*(b.mean()+allowed)
 		variance += b.variance() * (k + k*k/b.timed)
 		timed += k
 	}
 	if timed < 1 {
 		return 0, false
 	}
-	variance += timed * timed * betweenSpread * betweenSpread / float64(len(whos))
+	variance += timed * timed * endpointSpread * endpointSpread / float64(len(whos))
 	return excess / math.Sqrt(variance), true
 }
 
 // mean and variance are those of the logarithm of latency, with the floor under the spread.
-func (a weighed) mean() float64 { return a.log / a.timed }
+func (a decayed) mean() float64 { return a.logLatency / a.timed }
 
-func (a weighed) variance() float64 {
-	return max(floorSpread*floorSpread, a.square/a.timed-a.mean()*a.mean())
+func (a decayed) variance() float64 {
+	return max(minLatencySpread*minLatencySpread, a.logLatencySquared/a.timed-a.mean()*a.mean())
 }
 
 func union[V any](a, b map[int]V) map[int]bool {
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -9,55 +9,55 @@
 // one route, to searchers at one distance. The new version's are told apart
 // by searcher as well, as far as there are few.
 type Cell struct {
-	// Order is the number of the rollout's order.
-	Order int64  `json:"O"`
-	New   bool   `json:"N,omitempty"`
-	Route string `json:"R"`
-	Far   int    `json:"F,omitempty"`
-	Who   int64  `json:"W,omitempty"`
-}
-
-// Sum is what was seen in a cell. Sums only grow, and add up.
-type Sum struct {
-	// N counts answers and lasting silences, Bad those that are failures.
-	N   int64 `json:"N"`
-	Bad int64 `json:"B,omitempty"`
+	// OrderSlot is the number of the rollout's order.
+	OrderSlot int64  `json:"O"`
+	Target    bool   `json:"N,omitempty"`
+	Route     string `json:"R"`
+	Distance  int    `json:"F,omitempty"`
+	Endpoint  int64  `json:"W,omitempty"`
+}
+
+// Sample is what was seen in a cell. Sums only grow, and add up.
+type Sample struct {
+	// Attempts counts answers and lasting silences, Bad those that are failures.
+	Attempts int64 `json:"N"`
+	Failures int64 `json:"B,omitempty"`
 	// Timed counts those of warm searchers whose latency is in Log and Square,
 	// the sums of its logarithm and of that squared.
-	Timed  int64   `json:"T,omitempty"`
-	Log    float64 `json:"L,omitempty"`
-	Square float64 `json:"S,omitempty"`
+	Timed             int64   `json:"T,omitempty"`
+	LogLatency        float64 `json:"L,omitempty"`
+	LogLatencySquared float64 `json:"S,omitempty"`
 }
 
 // Plus adds.
-func (s Sum) Plus(o Sum) Sum {
-	return Sum{s.N + o.N, s.Bad + o.Bad, s.Timed + o.Timed, s.Log + o.Log, s.Square + o.Square}
+func (s Sample) Plus(o Sample) Sample {
+	return Sample{s.Attempts + o.Attempts, s.Failures + o.Failures, s.Timed + o.Timed, s.LogLatency + o.LogLatency, s.LogLatencySquared + o.LogLatencySquared}
 }
 
 // Minus takes away what was known before.
-func (s Sum) Minus(o Sum) Sum {
-	return Sum{s.N - o.N, s.Bad - o.Bad, s.Timed - o.Timed, s.Log - o.Log, s.Square - o.Square}
+func (s Sample) Minus(o Sample) Sample {
+	return Sample{s.Attempts - o.Attempts, s.Failures - o.Failures, s.Timed - o.Timed, s.LogLatency - o.LogLatency, s.LogLatencySquared - o.LogLatencySquared}
 }
 
-func (s Sum) scaled(w float64) weighed {
-	return weighed{float64(s.N) * w, float64(s.Bad) * w, float64(s.Timed) * w, s.Log * w, s.Square * w}
+func (s Sample) scaled(w float64) decayed {
+	return decayed{float64(s.Attempts) * w, float64(s.Failures) * w, float64(s.Timed) * w, s.LogLatency * w, s.LogLatencySquared * w}
 }
 
-// weighed is a sum whose parts have lost weight with age.
-type weighed struct{ n, bad, timed, log, square float64 }
+// decayed is a sum whose parts have lost weight with age.
+type decayed struct{ attempts, failures, timed, logLatency, logLatencySquared float64 }
 
-func (a weighed) plus(b weighed) weighed {
-	return weighed{a.n + b.n, a.bad + b.bad, a.timed + b.timed, a.log + b.log, a.square + b.square}
+func (a decayed) plus(b decayed) decayed {
+	return decayed{a.attempts + b.attempts, a.failures + b.failures, a.timed + b.timed, a.logLatency + b.logLatency, a.logLatencySquared + b.logLatencySquared}
 }
 
-func (a weighed) times(w float64) weighed {
-	return weighed{a.n * w, a.bad * w, a.timed * w, a.log * w, a.square * w}
+func (a decayed) times(w float64) decayed {
+	return decayed{a.attempts * w, a.failures * w, a.timed * w, a.logLatency * w, a.logLatencySquared * w}
 }
 
 // Entry is a cell with its sum, as it travels.
 type Entry struct {
 	Cell
-	Sum Sum `json:"S"`
+	Sample Sample `json:"S"`
 }
 
 // GroupByOrder sorts entries into one list per rollout order; each list keeps
@@ -65,7 +65,7 @@
 func GroupByOrder(entries []Entry) map[int64][]Entry {
 	byOrder := map[int64][]Entry{}
 	for _, e := range entries {
-		byOrder[e.Order] = append(byOrder[e.Order], e)
+		byOrder[e.OrderSlot] = append(byOrder[e.OrderSlot], e)
 	}
 	return byOrder
 }
@@ -74,7 +74,7 @@
 const maxCells = 4096
 
 // addBounded adds a sum to a cell. New cells beyond maxCells are dropped.
-func addBounded(cells map[Cell]Sum, c Cell, s Sum) {
+func addBounded(cells map[Cell]Sample, c Cell, s Sample) {
 	if old, known := cells[c]; known || len(cells) < maxCells {
 		cells[c] = old.Plus(s)
 	}
@@ -83,15 +83,15 @@
 // Recorder collects what this node sees. It may be used from any goroutine.
 type Recorder struct {
 	mu    sync.Mutex
-	cells map[Cell]Sum
+	cells map[Cell]Sample
 }
 
 // Record counts one try.
-func (t *Recorder) Record(c Cell, s Sum) {
+func (t *Recorder) Record(c Cell, s Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cells == nil {
-		t.cells = map[Cell]Sum{}
+		t.cells = map[Cell]Sample{}
 	}
 	addBounded(t.cells, c, s)
 }
@@ -110,24 +110,24 @@
 // Aggregator merges what many nodes tell: sums that only grow, by source, where a
 // later one stands for the earlier. It has one owner.
 type Aggregator struct {
-	from map[string]sourceTotals
-	own  map[Cell]Sum
+	sources map[string]sourceTotals
+	own     map[Cell]Sample
 }
 
 type sourceTotals struct {
-	life, seq int64
-	cells     map[Cell]Sum
+	incarnation, sequence int64
+	cells                 map[Cell]Sample
 }
 
 // NewAggregator makes an empty ledger.
 func NewAggregator() *Aggregator {
-	return &Aggregator{from: map[string]sourceTotals{}, own: map[Cell]Sum{}}
+	return &Aggregator{sources: map[string]sourceTotals{}, own: map[Cell]Sample{}}
 }
 
 // Add counts what this node was told by the fronts that report to it.
 func (l *Aggregator) Add(entries []Entry) {
 	for _, e := range entries {
-		addBounded(l.own, e.Cell, e.Sum)
+		addBounded(l.own, e.Cell, e.Sample)
 	}
 }
 
@@ -142,21 +142,21 @@
 // Merge takes all that a source has counted in its life, and gives what was
 // not known of it. What came late or twice brings nothing.
 func (l *Aggregator) Merge(source string, life, seq int64, entries []Entry) (news []Entry) {
-	old := l.from[source]
-	if old.life == life && seq <= old.seq || life < old.life {
+	old := l.sources[source]
+	if old.incarnation == life && seq <= old.sequence || life < old.incarnation {
 		return nil
 	}
-	if old.life != life {
+	if old.incarnation != life {
 		old.cells = nil
 	}
-	now := sourceTotals{life, seq, map[Cell]Sum{}}
+	now := sourceTotals{life, seq, map[Cell]Sample{}}
 	for _, e := range entries {
-		now.cells[e.Cell] = e.Sum
-		if d := e.Sum.Minus(old.cells[e.Cell]); d.N > 0 {
+		now.cells[e.Cell] = e.Sample
+		if d := e.Sample.Minus(old.cells[e.Cell]); d.Attempts > 0 {
 			news = append(news, Entry{e.Cell, d})
 		}
 	}
-	l.from[source] = now
+	l.sources[source] = now
 	return news
 }
 
@@ -164,8 +164,8 @@
 // source has no disk, and the time of day may jump: its lives have names, and
 // no order but that in which they were heard.
 type ReportFilter struct {
-	life, seq int64
-	past      []int64
+	incarnation, sequence int64
+	pastIncarnations      []int64
 }
 
 // maxPastIncarnations is how many lives back a late word is known as one.
@@ -174,31 +174,31 @@
 // Accept takes a word and tells whether it is one.
 func (t *ReportFilter) Accept(life, seq int64) bool {
 	switch {
-	case life == t.life:
-		if seq <= t.seq {
+	case life == t.incarnation:
+		if seq <= t.sequence {
 			return false
 		}
-	case slices.Contains(t.past, life):
+	case slices.Contains(t.pastIncarnations, life):
 		return false
 	default:
-		t.past = append(t.past, t.life)
-		t.past = t.past[max(0, len(t.past)-maxPastIncarnations):]
-		t.life = life
+		t.pastIncarnations = append(t.pastIncarnations, t.incarnation)
+		t.pastIncarnations = t.pastIncarnations[max(0, len(t.pastIncarnations)-maxPastIncarnations):]
+		t.incarnation = life
 	}
-	t.seq = seq
+	t.sequence = seq
 	return true
 }
 
 // Retain drops what belongs to orders that no longer run.
 func (l *Aggregator) Retain(runs func(order int64) bool) {
 	for c := range l.own {
-		if !runs(c.Order) {
+		if !runs(c.OrderSlot) {
 			delete(l.own, c)
 		}
 	}
-	for _, h := range l.from {
+	for _, h := range l.sources {
 		for c := range h.cells {
-			if !runs(c.Order) {
+			if !runs(c.OrderSlot) {
 				delete(h.cells, c)
 			}
 		}
