--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,6 +1,7 @@
-// Package saddle lets a front ask a front in another zone to gather several
-// shards there: one call crosses instead of one for each shard, and one
-// merged list comes back. Here are the messages and the choice of the front
-// to ask. In the field's terms: hierarchical aggregation in a scatter-gather
-// tree.
+// Package relay lets a front have several shards of a request queried by a
+// front in another zone (hierarchical aggregation in a scatter-gather tree): one
+// call crosses the zones' border instead of one for each shard, and one merged
+// list of records comes back. The package holds the messages of such a call, and
+// the Balancer that picks the front to call. Package frontend makes and serves
+// the calls.
 package relay
