--- a/internal/scatter/legs_test.go
+++ b/internal/scatter/bench_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"bufio"
+	"bytes"
 	"fmt"
-	"io"
 	"net"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -16,14 +17,53 @@
 	"swiftswitch/internal/upstream"
 )
 
-// BenchmarkLegs gathers from more and more shards on loopback. Its searchers
-// run in this process: what it tells of the processor is an upper bound for a front.
-func BenchmarkLegs(b *testing.B) {
-	for _, n := range []int{30, 120, 480, 1200} {
+// BenchmarkGather gathers from more and more shards on loopback. The stand-ins
+// for searchers run in this process, without allocations of their own: what
+// the benchmark says of the processor is an upper bound for a front.
+func BenchmarkGather(b *testing.B) {
+	for _, n := range []int{8, 30, 120, 480, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchLegs(b, n) })
 	}
 }
 
+// BenchmarkStateMachine drives the state machine alone through a request whose
+// shards all answer, one of them after a retry.
+func BenchmarkStateMachine(b *testing.B) {
+	for _, n := range []int{8, 1200} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			peer := &upstream.Peer{}
+			stamps := make([]string, n)
+			services := make([]string, n)
+			for i := range n {
+				stamps[i], services[i] = fmt.Sprint("stamp", i), fmt.Sprint("s", i)
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				legs := make([]*Leg, n)
+				for i := range n {
+					legs[i] = &Leg{Service: services[i]}
+				}
+				p := NewParty(Terms{Attempts: 2, Safe: true, Need: 1}, legs)
+				for i := range n {
+					p.Launched(i, peer)
+				}
+				if step, _ := p.Hear(0, upstream.Outcome{Verdict: upstream.Unknown}); step != Again {
+					b.Fatal("no retry")
+				}
+				p.Launched(0, peer)
+				for i := range n {
+					p.Hear(i, upstream.Outcome{Status: 200, Stamp: stamps[i]})
+					if over, ok := p.Verdict(false, false); over != (i == n-1) || over != ok {
+						b.Fatal("not over with the last shard")
+					}
+				}
+				p.Release()
+			}
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/shard")
+		})
+	}
+}
+
 func benchLegs(b *testing.B, n int) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -74,6 +114,7 @@
 		p.Release()
 	}
 	run(-1) // opens the connections
+	b.ReportAllocs()
 	b.ResetTimer()
 	var before, after syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
@@ -89,22 +130,30 @@
 func answer(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
+	header := []byte("Swiftswitch-Expected-Instance: ")
 	body := strings.Repeat("0123456789abcdef", 20)
-	for k := 0; ; k++ {
-		id := ""
+	rest := fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	var id, out []byte
+	for k := int64(0); ; k++ {
+		id = id[:0]
 		for {
-			line, err := r.ReadString('\n')
+			line, err := r.ReadSlice('\n')
 			if err != nil {
 				return
 			}
-			if line == "\r\n" {
+			if len(line) == 2 {
 				break
 			}
-			if v, ok := strings.CutPrefix(line, "Swiftswitch-Expected-Instance: "); ok {
-				id = strings.TrimSpace(v)
+			if v, ok := bytes.CutPrefix(line, header); ok {
+				id = append(id, bytes.TrimSpace(v)...)
 			}
 		}
-		if _, err := io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: %s.%d\r\nContent-Length: %d\r\n\r\n%s", id, k, len(body), body)); err != nil {
+		out = append(out[:0], "HTTP/1.1 200 OK\r\nSwiftswitch-Server-Stamp: "...)
+		out = append(out, id...)
+		out = append(out, '.')
+		out = strconv.AppendInt(out, k, 10)
+		out = append(out, rest...)
+		if _, err := c.Write(out); err != nil {
 			return
 		}
 	}
