--- a/internal/frontend/across.go
+++ b/internal/frontend/across.go
@@ -81,13 +81,13 @@
 	defer h.busy.Add(-1)
 	left := time.Duration(a.RemainingMs) * time.Millisecond
 	wait := min(left, time.Duration(a.WaitMs)*time.Millisecond)
-	p := scatter.NewQuery(scatter.Policy{MaxAttempts: 1, Idempotent: true}, legs)
+	p := scatter.NewQuery(scatter.Policy{MaxAttempts: 1, Idempotent: true, Relayed: true}, legs)
 	defer p.Release()
-	h.guide.Gather(p, req, scatter.Deadlines{Start: start, TargetLatency: route.TargetLatency, SoftDeadline: start.Add(wait), HardDeadline: start.Add(wait), ShardDeadline: start.Add(left), Relayed: true}, nil)
+	h.guide.Gather(p, req, scatter.Deadlines{Start: start, TargetLatency: route.TargetLatency, SoftDeadline: start.Add(wait), HardDeadline: start.Add(wait), ShardDeadline: start.Add(left)}, nil)
 	say := relay.Response{Stamps: make([]string, len(legs))}
 	var bodies [][]byte
 	for k, l := range legs {
-		if l.Answered {
+		if l.Answered() {
 			say.Stamps[k] = l.Answer.Stamp
 			bodies = append(bodies, l.Answer.Records())
 		}
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -394,7 +394,7 @@
 	var bodies [][]byte
 	stamps := make([]byte, 0, 40*len(p.Shards))
 	for _, l := range p.Shards {
-		if !l.Answered {
+		if !l.Answered() {
 			continue
 		}
 		bodies = append(bodies, l.Answer.Records())
--- a/internal/scatter/bench_test.go
+++ b/internal/scatter/bench_test.go
@@ -21,109 +21,148 @@
 // for searchers run in this process, without allocations of their own: what
 // the benchmark says of the processor is an upper bound for a front.
 func BenchmarkGather(b *testing.B) {
-	for _, n := range []int{8, 30, 120, 480, 1200} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { benchLegs(b, n) })
+	for _, n := range []int{1, 8, 30, 120, 480, 1200} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkGather(b, n) })
 	}
 }
 
-// BenchmarkStateMachine drives the state machine alone through a request whose
-// shards all answer, one of them after a retry.
-func BenchmarkStateMachine(b *testing.B) {
-	for _, n := range []int{8, 1200} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			peer := &upstream.Peer{}
-			stamps := make([]string, n)
-			services := make([]string, n)
-			for i := range n {
-				stamps[i], services[i] = fmt.Sprint("stamp", i), fmt.Sprint("s", i)
-			}
-			b.ReportAllocs()
-			for b.Loop() {
-				legs := make([]*Leg, n)
-				for i := range n {
-					legs[i] = &Leg{Service: services[i]}
-				}
-				p := NewParty(Terms{Attempts: 2, Safe: true, Need: 1}, legs)
-				for i := range n {
-					p.Launched(i, peer)
-				}
-				if step, _ := p.Hear(0, upstream.Outcome{Verdict: upstream.Unknown}); step != Again {
-					b.Fatal("no retry")
-				}
-				p.Launched(0, peer)
-				for i := range n {
-					p.Hear(i, upstream.Outcome{Status: 200, Stamp: stamps[i]})
-					if over, ok := p.Verdict(false, false); over != (i == n-1) || over != ok {
-						b.Fatal("not over with the last shard")
-					}
-				}
-				p.Release()
-			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/shard")
-		})
+func benchmarkGather(b *testing.B, n int) {
+	g := newLoopbackGatherer(b, n)
+	gatherOnce(b, g, n, -1) // opens the connections
+	b.ReportAllocs()
+	b.ResetTimer()
+	before := processorTime(b)
+	for k := range b.N {
+		gatherOnce(b, g, n, k)
 	}
+	used := processorTime(b) - before
+	b.ReportMetric(float64(used.Microseconds())/float64(b.N)/float64(n), "us-cpu/shard")
 }
 
-func benchLegs(b *testing.B, n int) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// newLoopbackGatherer returns a gatherer with one endpoint for each of n shards.
+func newLoopbackGatherer(b *testing.B, n int) *Gatherer {
+	b.Helper()
+	addr := listen(b)
+	workers, err := ants.NewPool(4096, ants.WithNonblocking(true))
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }()
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go answer(c)
-		}
-	}()
-	pool, _ := ants.NewPool(4096, ants.WithNonblocking(true))
-	defer pool.Release()
-	rng := upstream.New(upstream.Options{
+	b.Cleanup(workers.Release)
+	pool := upstream.New(upstream.Options{
 		Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
 		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: time.Second,
 	})
-	t := &endpoints.Table{}
+	table := &endpoints.Table{}
+	for i := range n {
+		table.Endpoints = append(table.Endpoints, endpoints.Endpoint{
+			ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: addr, Slots: 2, Ordinal: int64(i),
+		})
+	}
+	pool.SetTable(table)
+	started := time.Now()
+	return &Gatherer{
+		Upstream: pool, Workers: workers, HedgeAfter: 5,
+		RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Ratio: 1, Window: time.Second}, 0),
+		Now:         func() time.Duration { return time.Since(started) },
+	}
+}
+
+// gatherOnce carries request number k out, all shards of which must answer.
+func gatherOnce(b *testing.B, g *Gatherer, n, k int) {
+	b.Helper()
+	var shards []*ShardRequest
+	for i := range n {
+		shards = append(shards, &ShardRequest{Service: fmt.Sprint("s", i)})
+	}
+	request, err := upstream.NewRequest("GET", "/x", []byte(fmt.Sprintf("Host: a\r\nSwiftswitch-Request-Id: r%d\r\n", k)), nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	now := time.Now()
+	q := NewQuery(Policy{MaxAttempts: 2, Idempotent: true, MinShare: 1}, shards)
+	defer q.Release()
+	deadlines := Deadlines{
+		Start: now, TargetLatency: time.Second, SoftDeadline: now.Add(9 * time.Second),
+		HardDeadline: now.Add(10 * time.Second), ShardDeadline: now.Add(10 * time.Second),
+	}
+	if !g.Gather(q, request, deadlines, nil) {
+		b.Fatalf("%d of %d shards answered", q.Answered(), n)
+	}
+	var bodies [][]byte
+	for _, s := range q.Shards {
+		bodies = append(bodies, s.Answer.Records())
+	}
+	Merge(bodies, 20)
+}
+
+// processorTime is what this process has used.
+func processorTime(b *testing.B) time.Duration {
+	b.Helper()
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		b.Fatal(err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// BenchmarkStateMachine drives the state machine alone through a request whose
+// shards all answer, one of them after a retry.
+func BenchmarkStateMachine(b *testing.B) {
+	for _, n := range []int{8, 1200} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkStateMachine(b, n) })
+	}
+}
+
+func benchmarkStateMachine(b *testing.B, n int) {
+	endpoint := &upstream.Endpoint{}
+	stamps := make([]string, n)
+	services := make([]string, n)
 	for i := range n {
-		t.Endpoints = append(t.Endpoints, endpoints.Endpoint{ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: ln.Addr().String(), Slots: 2, Ordinal: int64(i)})
+		stamps[i], services[i] = fmt.Sprint("stamp", i), fmt.Sprint("s", i)
 	}
-	rng.SetTable(t)
-	born := time.Now()
-	g := &Gatherer{Upstream: rng, RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Ratio: 1, Window: time.Second}, 0), Workers: pool, Now: func() time.Duration { return time.Since(born) }, HedgeAfter: 5}
-	run := func(k int) {
-		var legs []*ShardRequest
+	b.ReportAllocs()
+	for b.Loop() {
+		shards := make([]*ShardRequest, n)
 		for i := range n {
-			legs = append(legs, &ShardRequest{Service: fmt.Sprint("s", i)})
+			shards[i] = &ShardRequest{Service: services[i]}
 		}
-		req, err := upstream.NewRequest("GET", "/x", []byte(fmt.Sprintf("Host: a\r\nSwiftswitch-Request-Id: r%d\r\n", k)), nil)
-		if err != nil {
-			b.Fatal(err)
+		q := NewQuery(Policy{MaxAttempts: 2, Idempotent: true, MinShare: 1}, shards)
+		for i := range n {
+			q.OnSent(i, endpoint)
 		}
-		now := time.Now()
-		p := NewQuery(Policy{MaxAttempts: 1, Idempotent: true, MinShare: 1}, legs)
-		if !g.Gather(p, req, Deadlines{Start: now, TargetLatency: time.Second, SoftDeadline: now.Add(9 * time.Second), HardDeadline: now.Add(10 * time.Second), ShardDeadline: now.Add(10 * time.Second)}, nil) {
-			b.Fatalf("%d of %d parts are in", p.Answered(), n)
+		if action, _ := q.OnResult(0, upstream.Attempt{Outcome: upstream.OutcomeUnknown}); action != Retry {
+			b.Fatal("no retry")
 		}
-		var bodies [][]byte
-		for _, l := range p.Shards {
-			bodies = append(bodies, l.Answer.Records())
+		q.OnSent(0, endpoint)
+		for i := range n {
+			q.OnResult(i, upstream.Attempt{Status: 200, Stamp: stamps[i]})
+			if d := q.Decide(BeforeSoftDeadline); (d == Succeeded) != (i == n-1) {
+				b.Fatal("not decided by the last shard")
+			}
 		}
-		Merge(bodies, 20)
-		p.Release()
+		q.Release()
 	}
-	run(-1) // opens the connections
-	b.ReportAllocs()
-	b.ResetTimer()
-	var before, after syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
-	for k := range b.N {
-		run(k)
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/shard")
+}
+
+// listen returns the address of a stand-in for all searchers.
+func listen(b *testing.B) (addr string) {
+	b.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
 	}
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
-	cpu := time.Duration(after.Utime.Nano() + after.Stime.Nano() - before.Utime.Nano() - before.Stime.Nano())
-	b.ReportMetric(float64(cpu.Microseconds())/float64(b.N)/float64(n), "us-cpu/leg")
+	b.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go answer(conn)
+		}
+	}()
+	return listener.Addr().String()
 }
 
 // answer serves one connection with a part of 20 records for each request.
--- a/internal/scatter/doc.go
+++ b/internal/scatter/doc.go
@@ -1,5 +1,19 @@
-// Package gather asks one searcher of each shard, tries again where that may
-// help, and puts the parts together. A request to one service is the case of
-// one leg. In the field's terms: scatter-gather with hedged requests and
-// partial results.
+// Package scatter implements scatter-gather over the shards of an index: it
+// sends a request to one endpoint of each shard, retries and hedges, decides
+// when a partial answer is good enough, and merges the sorted records of the
+// shards that answered. A request to a single service is the case of one shard.
+//
+// The package has two halves:
+//
+//   - [Query] is a pure state machine. It holds what is known of each shard
+//     and decides what may be sent, when an attempt is hedged and when the
+//     request is over. It knows no clock, no connection and no goroutine, so
+//     recorded traces (testdata) cover it whole.
+//   - [Gatherer] drives a Query: it picks endpoints, withdraws retries from
+//     the retry budget, runs each attempt on a worker and feeds the results
+//     back. One goroutine, that of [Gatherer.Gather], owns the Query; workers
+//     only send on its channel of results.
+//
+// Hedged requests follow Dean and Barroso, "The Tail at Scale" (CACM 56:2,
+// 2013); the retry budget is that of package ratelimit.
 package scatter
--- /dev/null
+++ b/internal/scatter/gatherer.go
@@ -0,0 +1,86 @@
+package scatter
+
+import (
+	"time"
+
+	"github.com/panjf2000/ants/v2"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/upstream"
+)
+
+// singleHedgeDelay, a part of the target latency, is how much later the
+// attempt of a single service is hedged: the slowest of many shards is late
+// far sooner than one alone.
+const singleHedgeDelay = 0.15
+
+// Gatherer drives queries. It is safe for concurrent use once its fields are set.
+type Gatherer struct {
+	Upstream    *upstream.Pool
+	RetryBudget *ratelimit.RetryBudget
+	// Workers run the attempts. The pool must not block on Submit.
+	Workers *ants.Pool
+	// Now is the node's monotonic clock.
+	Now func() time.Duration
+	// HedgeAfter is the part of the target latency after which an attempt is
+	// hedged, or the service's 90th percentile where that is later.
+	HedgeAfter float64
+}
+
+// Gather sends the request to every shard of the query and returns when the
+// query is decided; it reports whether it succeeded. relay may be nil.
+//
+// Attempts that are in flight then run to their end in the background: an
+// endpoint at work is not interrupted. Their responses are released.
+func (g *Gatherer) Gather(q *Query, request *upstream.Request, deadlines Deadlines, relay Relay) (succeeded bool) {
+	r := &run{
+		Gatherer: g, request: request, deadlines: deadlines, relay: relay,
+		results: make(chan result, len(q.Shards)*q.policy.MaxAttempts),
+	}
+	defer r.releaseLateResults(q)
+	r.sendFirst(q)
+	return r.await(q)
+}
+
+// hedgeTime is when a shard's first attempt is hedged.
+func (g *Gatherer) hedgeTime(service string, shards int, d *Deadlines) time.Time {
+	after := g.HedgeAfter
+	if shards == 1 {
+		after += singleHedgeDelay
+	}
+	_, p90 := g.Upstream.LatencyPercentiles(service)
+	return d.Start.Add(max(p90, partOf(d.TargetLatency, after)))
+}
+
+// pickFirst picks the endpoint of a shard's first attempt, or nil. A canary is
+// reached directly, however far it is: a front that relayed the attempt would
+// count it once more.
+func (g *Gatherer) pickFirst(s *ShardRequest, target time.Duration) (p picked, isCanary bool) {
+	if s.Canary != nil {
+		if endpoint, start := g.Upstream.Pick(*s.Canary, nil, target, false); endpoint != nil {
+			return picked{endpoint, start}, true
+		}
+	}
+	return g.pick(s, nil, target, false), false
+}
+
+// pick picks among the shard's endpoints, or where none of them can be picked,
+// among those of its fallback. With spareOnly, full endpoints are left out.
+func (g *Gatherer) pick(s *ShardRequest, exclude []*upstream.Endpoint, target time.Duration, spareOnly bool) picked {
+	endpoint, start := g.Upstream.Pick(s.Selector(), exclude, target, spareOnly)
+	if endpoint == nil && s.Fallback != nil {
+		endpoint, start = g.Upstream.Pick(*s.Fallback, exclude, target, spareOnly)
+	}
+	return picked{endpoint, start}
+}
+
+// picked is an endpoint that the upstream pool counts as busy since start. Each
+// is followed by an attempt or canceled. The endpoint may be nil.
+type picked struct {
+	endpoint *upstream.Endpoint
+	start    time.Time
+}
+
+// partOf is a part of a duration.
+func partOf(d time.Duration, part float64) time.Duration {
+	return time.Duration(part * float64(d))
+}
--- a/internal/scatter/merge.go
+++ b/internal/scatter/merge.go
@@ -6,38 +6,40 @@
 	"slices"
 )
 
-// RecordSize is the length of one record.
+// RecordSize is the length of one record in bytes.
 const RecordSize = 16
 
-type record struct{ hi, lo uint64 }
+// record is a record as two big-endian words: their order is that of the bytes.
+type record struct{ high, low uint64 }
 
-// Merge gives the greatest top records of the bodies, greatest first,
-// compared byte by byte. Equal records all stay; a rest that is no whole
-// record counts for nothing.
+// compareDescending orders records from the greatest to the least.
+func compareDescending(a, b record) int {
+	if a.high != b.high {
+		return cmp.Compare(b.high, a.high)
+	}
+	return cmp.Compare(b.low, a.low)
+}
+
+// Merge returns the greatest top records of the bodies, greatest first,
+// compared byte by byte. Equal records are all kept; an incomplete record at
+// the end of a body is ignored.
 func Merge(bodies [][]byte, top int) []byte {
 	n := 0
-	for _, b := range bodies {
-		n += len(b) / RecordSize
-	}
-	recs := make([]record, 0, n)
-	for _, b := range bodies {
-		for ; len(b) >= RecordSize; b = b[RecordSize:] {
-			recs = append(recs, record{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])})
-		}
+	for _, body := range bodies {
+		n += len(body) / RecordSize
 	}
-	slices.SortFunc(recs, func(a, b record) int {
-		if a.hi != b.hi {
-			return cmp.Compare(b.hi, a.hi)
+	records := make([]record, 0, n)
+	for _, body := range bodies {
+		for ; len(body) >= RecordSize; body = body[RecordSize:] {
+			records = append(records, record{binary.BigEndian.Uint64(body), binary.BigEndian.Uint64(body[8:])})
 		}
-		return cmp.Compare(b.lo, a.lo)
-	})
-	if len(recs) > top {
-		recs = recs[:top]
 	}
-	out := make([]byte, 0, len(recs)*RecordSize)
-	for _, r := range recs {
-		out = binary.BigEndian.AppendUint64(out, r.hi)
-		out = binary.BigEndian.AppendUint64(out, r.lo)
+	slices.SortFunc(records, compareDescending)
+	records = records[:min(top, len(records))]
+	out := make([]byte, 0, len(records)*RecordSize)
+	for _, r := range records {
+		out = binary.BigEndian.AppendUint64(out, r.high)
+		out = binary.BigEndian.AppendUint64(out, r.low)
 	}
 	return out
 }
