--- a/internal/front/internal_api.go
+++ b/internal/front/internal_api.go
@@ -1,6 +1,9 @@
 package front
 
 import (
+	"net/http"
+	"time"
+
 	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/relay"
 	"swiftswitch/internal/transport"
@@ -10,30 +13,40 @@
 
 // HandleInternal takes a call of another node and tells whether it was one for
 // a front or a cache node.
-func (t *Server) HandleInternal(c *app.RequestContext) bool {
+func (s *Server) HandleInternal(c *app.RequestContext) bool {
 	switch string(c.Request.URI().PathOriginal()) {
 	case nodeapi.PathRelay:
-		t.handleRelay(c)
+		s.handleRelay(c)
 	case nodeapi.PathCacheFetch:
-		if !t.cacheNode {
+		if !s.isCacheNode {
 			return false
 		}
-		t.fetcher.HandleFetch(c)
+		s.fetcher.HandleFetch(c)
 	default:
 		return false
 	}
 	return true
 }
 
-// handleRelay gathers shards for a front in another zone.
-func (t *Server) handleRelay(c *app.RequestContext) {
+// handleRelay sends a gathered request to some shards for a front in another zone.
+func (s *Server) handleRelay(c *app.RequestContext) {
 	var request relay.Request
 	if !transport.ReadJSON(c, &request) {
 		return
 	}
-	if response, ok := t.frontend.HandleRelay(request); ok {
-		transport.WriteJSON(c, 200, response)
+	if response, ok := s.frontend.HandleRelay(request); ok {
+		transport.WriteJSON(c, http.StatusOK, response)
 		return
 	}
-	transport.WriteError(c, 409, "another version is in force here")
+	transport.WriteError(c, http.StatusConflict, "another version is in force here")
+}
+
+// callRelay asks a front in another zone to relay.
+func (s *Server) callRelay(ip string, request relay.Request, response *relay.Response, timeout time.Duration) error {
+	err := s.host.Client.CallJSON(s.host.Settings().InternalAddress(ip), nodeapi.PathRelay, request, response, timeout)
+	if err != nil {
+		// The next poll asks for fronts that may do better.
+		s.watcher.rosterAskedAt.Store(0)
+	}
+	return err
 }
--- /dev/null
+++ b/internal/front/status.go
@@ -0,0 +1,79 @@
+package front
+
+import (
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/upstream"
+)
+
+// Status is the front server's part of a node's status.
+type Status struct {
+	Ready bool `json:"Ready"`
+	// Slot is the last decided slot whose configuration the node holds.
+	Slot int64 `json:"Slot"`
+	// LastBuilt is the version of the newest configuration received, Current
+	// that of the layout in force, Next that of the layout to switch to.
+	LastBuilt int64 `json:"LastBuilt"`
+	Current   int64 `json:"Current"`
+	Next      int64 `json:"Next,omitempty"`
+	// TableStamp orders the endpoint table held, Endpoints counts its entries.
+	TableStamp endpoints.Stamp `json:"Table"`
+	Endpoints  int             `json:"Searchers"`
+	// FrontCount is the number of fronts in the cluster.
+	FrontCount  int            `json:"Fronts"`
+	Connections upstream.Stats `json:"Connections"`
+	// InFlight counts the requests under way, Relayed those that this front
+	// sent to shards for another front.
+	InFlight int64 `json:"Busy"`
+	Relayed  int64 `json:"Helped"`
+	// ShardHolders names, by shard, the endpoints that hold it.
+	ShardHolders map[string][]string `json:"Slots"`
+	// CachedObjects and CachedBytes are what the node's cache holds, KnownPurge
+	// is the number of the last purge known.
+	CachedObjects int   `json:"Copies"`
+	CachedBytes   int   `json:"CopyBytes"`
+	KnownPurge    int64 `json:"Purge"`
+	// Fetches counts the fetches of objects, QuotaShare is this node's part of
+	// the services' rate limits.
+	Fetches    int64   `json:"Fetched"`
+	QuotaShare float64 `json:"Part"`
+}
+
+// Status returns the state of all controllers.
+func (s *Server) Status() *Status {
+	status := &Status{
+		Ready:        s.Ready(),
+		InFlight:     s.frontend.InFlight(),
+		Relayed:      s.frontend.Relayed(),
+		Connections:  s.endpoints.Stats(),
+		Fetches:      s.fetcher.Fetches(),
+		KnownPurge:   s.cacheHandler.KnownPurge(),
+		FrontCount:   int(s.watcher.frontCount.Load()),
+		ShardHolders: map[string][]string{},
+	}
+	status.CachedObjects, status.CachedBytes = s.cacheHandler.Usage()
+	if s.isCacheNode {
+		status.CachedObjects, status.CachedBytes = s.fetcher.Usage()
+	}
+	status.QuotaShare, _ = s.QuotaShare()
+	s.loop.Call(func() {
+		status.Slot = s.progress.load().slot
+		s.layouts.addStatus(status)
+	})
+	return status
+}
+
+// addStatus fills in the layouts and the endpoint table. It runs on loop.
+func (c *layoutController) addStatus(status *Status) {
+	status.LastBuilt = c.layouts.LastBuilt
+	status.Current = c.layouts.Current.Version
+	if c.layouts.Next != nil {
+		status.Next = c.layouts.Next.Version
+	}
+	if c.table != nil {
+		status.TableStamp = c.table.Stamp
+		status.Endpoints = len(c.table.Endpoints)
+	}
+	for _, shard := range c.layouts.Current.Shards {
+		status.ShardHolders[shard] = c.layouts.Holders(shard)
+	}
+}
--- a/internal/frontend/trailhead.go
+++ b/internal/frontend/trailhead.go
@@ -69,6 +69,16 @@
 	return l.Route(now, heard, h.opt.MajorityTimeout, rand.Float64())
 }
 
+// ChooseVersion draws which version of a service's endpoints one request
+// goes, as the snapshot in force allows.
+func (h *Handler) ChooseVersion(service string) rollout.VersionChoice {
+	s := h.now.Load()
+	if s == nil {
+		return rollout.VersionChoice{}
+	}
+	return h.way(s, service)
+}
+
 // steadyWay is the way of a request that another front counts: no canary.
 func (h *Handler) steadyWay(s *Snapshot, service string) rollout.VersionChoice {
 	w := h.way(s, service)
