--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -10,34 +10,33 @@
 	"swiftswitch/internal/endpoints"
 )
 
-// benchmarkPool is a pool of n endpoints of one service at one address, in three zones.
-func benchmarkPool(b *testing.B, n int, addr string) *Pool {
+// newBenchmarkPool returns a pool of n endpoints of one service at one address,
+// in three zones.
+func newBenchmarkPool(b *testing.B, n int, addr string) *Pool {
 	b.Helper()
-	g := New(Options{
-		Distance:       func(zone string) int { return int(zone[0] - '0') },
-		TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 16, IdleTimeout: time.Minute,
-		TwoChoicesThreshold: 5, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, DistancePenalty: 0.15, DecayTime: 3 * time.Second, NodeName: "front-0",
-	})
-	var list []endpoints.Endpoint
+	options := testOptions()
+	options.Distance = func(zone string) int { return int(zone[0] - '0') }
+	options.IdleTimeout = time.Minute
+	options.NodeName = "front-0"
+	var entries []endpoints.Endpoint
 	for i := range n {
-		list = append(list, endpoints.Endpoint{ID: fmt.Sprintf("i-%d", i), Service: "s", Zone: fmt.Sprint(i % 3), Addr: addr, Slots: 2})
+		entries = append(entries, endpoints.Endpoint{ID: fmt.Sprintf("i-%d", i), Service: "s", Zone: fmt.Sprint(i % 3), Addr: addr, Slots: 2})
 	}
-	table, _ := endpoints.NextTable(nil, list, endpoints.Stamp{Epoch: 1})
-	g.SetTable(table)
-	return g
+	return newTestPool(b, options, entries...)
 }
 
 func benchmarkPick(b *testing.B, limit int) {
-	g := benchmarkPool(b, 100, "")
-	g.SetConnectionLimit("s", limit)
-	g.SetFrontCounts(FrontCounts{All: 300, Region: 100, Zone: 50})
+	b.Helper()
+	pool := newBenchmarkPool(b, 100, "")
+	pool.SetConnectionLimit("s", limit)
+	pool.SetFrontCounts(FrontCounts{All: 300, Region: 100, Zone: 50})
 	b.ReportAllocs()
 	for b.Loop() {
-		p, start := g.Pick(Selector{Service: "s"}, nil, 100*time.Millisecond, false)
-		if p == nil {
+		e, start := pool.Pick(Selector{Service: "s"}, nil, testTarget, false)
+		if e == nil {
 			b.Fatal("no endpoint was picked")
 		}
-		g.CancelPick(p, start)
+		pool.CancelPick(e, start)
 	}
 }
 
@@ -64,25 +63,25 @@
 			go answerAll(conn)
 		}
 	}()
-	g := benchmarkPool(b, 1, listener.Addr().String())
-	request, err := NewRequest("GET", "/a", []byte(lines), nil)
+	pool := newBenchmarkPool(b, 1, listener.Addr().String())
+	request, err := NewRequest("GET", "/a", []byte(requestHeaders), nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		p, start := g.Pick(Selector{Service: "s"}, nil, time.Second, false)
-		o := g.Do(p, request, start, time.Now().Add(time.Second))
-		if !o.Succeeded() {
-			b.Fatalf("%+v", o)
+		e, start := pool.Pick(Selector{Service: "s"}, nil, time.Second, false)
+		attempt := pool.Do(e, request, start, time.Now().Add(time.Second))
+		if !attempt.Succeeded() {
+			b.Fatalf("%+v", attempt)
 		}
-		o.Release()
+		attempt.Release()
 	}
 }
 
 // BenchmarkNewRequest parses a client's request.
 func BenchmarkNewRequest(b *testing.B) {
-	raw := []byte(lines + "Swiftswitch-Deadline-Milliseconds: 250\r\nAccept: */*\r\nUser-Agent: bench\r\nConnection: keep-alive\r\n")
+	raw := []byte(requestHeaders + "Swiftswitch-Deadline-Milliseconds: 250\r\nAccept: */*\r\nUser-Agent: bench\r\nConnection: keep-alive\r\n")
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := NewRequest("GET", "/a?q=1", raw, nil); err != nil {
@@ -95,17 +94,9 @@
 func answerAll(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
-	for {
-		for {
-			line, err := in.ReadSlice('\n')
-			if err != nil {
-				return
-			}
-			if len(line) == 2 {
-				break
-			}
-		}
-		if _, err := conn.Write([]byte(whole)); err != nil {
+	response := []byte(wholeResponse)
+	for skipRequest(in) == nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
--- a/internal/upstream/subset_test.go
+++ b/internal/upstream/subset_test.go
@@ -8,123 +8,142 @@
 	"swiftswitch/internal/endpoints"
 )
 
-// zoneOf puts front i into one of six zones, two a region.
-func zoneOf(i int) int { return i % 6 }
+// The fleet of the tests has six zones, two to a region. Front i is in zone
+// i % fleetZones, and each shard has one endpoint in each zone.
+const (
+	fleetZones     = 6
+	zonesPerRegion = 2
+)
+
+// fleetDistance returns how far two zones of the fleet are apart.
+func fleetDistance(a, b int) int {
+	switch {
+	case a == b:
+		return 0
+	case a/zonesPerRegion == b/zonesPerRegion:
+		return 1
+	default:
+		return 2
+	}
+}
 
-func fleet(n, limit, shards int, seen func(i int) FrontCounts) []*Pool {
-	var l []endpoints.Endpoint
-	for s := 0; s < shards; s++ {
-		for z := 0; z < 6; z++ {
-			l = append(l, endpoints.Endpoint{ID: fmt.Sprintf("i-%d-%d", s, z), Service: fmt.Sprintf("s%d", s), Zone: fmt.Sprint(z), Slots: 2})
+// newFleet returns the pools of the fronts of a fleet. limit is the connection
+// limit of each service, counts how many fronts front i believes there are.
+func newFleet(t *testing.T, fronts, limit, shards int, counts func(i int) FrontCounts) []*Pool {
+	t.Helper()
+	var entries []endpoints.Endpoint
+	for shard := range shards {
+		for zone := range fleetZones {
+			entries = append(entries, endpoints.Endpoint{
+				ID: fmt.Sprintf("i-%d-%d", shard, zone), Service: fmt.Sprintf("s%d", shard), Zone: fmt.Sprint(zone), Slots: 2,
+			})
 		}
 	}
-	table, _ := endpoints.NextTable(nil, l, endpoints.Stamp{Epoch: 1})
-	var out []*Pool
-	for i := 0; i < n; i++ {
-		own := zoneOf(i)
-		g := New(Options{NodeName: fmt.Sprintf("front-%d", i), ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: 3 * time.Second, DistancePenalty: 0.3,
-			Distance: func(z string) int {
-				at := int(z[0] - '0')
-				switch {
-				case at == own:
-					return 0
-				case at/2 == own/2:
-					return 1
-				}
-				return 2
-			}})
-		g.SetTable(table)
-		for s := 0; s < shards; s++ {
-			g.SetConnectionLimit(fmt.Sprintf("s%d", s), limit)
+	var pools []*Pool
+	for i := range fronts {
+		options := testOptions()
+		options.NodeName = fmt.Sprintf("front-%d", i)
+		options.DistancePenalty = 0.3
+		options.Distance = func(zone string) int { return fleetDistance(i%fleetZones, int(zone[0]-'0')) }
+		pool := newTestPool(t, options, entries...)
+		for shard := range shards {
+			pool.SetConnectionLimit(fmt.Sprintf("s%d", shard), limit)
 		}
-		g.SetFrontCounts(seen(i))
-		out = append(out, g)
+		pool.SetFrontCounts(counts(i))
+		pools = append(pools, pool)
 	}
-	return out
+	return pools
 }
 
-// taken sums, for each searcher of a service, the connections that all fronts may have.
-func taken(fronts []*Pool, service string) (sum map[string]int, without int) {
-	sum = map[string]int{}
+// evenCounts returns the counts of n fronts that are spread evenly over the zones.
+func evenCounts(n int) FrontCounts {
+	return FrontCounts{All: n, Region: n * zonesPerRegion / fleetZones, Zone: n / fleetZones}
+}
+
+// allowedConnections returns, for each healthy endpoint of a service, how many
+// connections all fronts together may have, and how many fronts may have none to
+// any.
+func allowedConnections(pools []*Pool, serviceName string) (sums map[string]int, without int) {
+	sums = map[string]int{}
 	now := time.Now()
-	for _, g := range fronts {
-		t, any := g.service(service), false
-		r := g.subset(t, "", now)
-		for _, p := range t.endpoints {
-			n := max(0, g.connectionLimit(p, t, r, now))
-			if !g.healthy(p, now) {
+	for _, pool := range pools {
+		s, reachesAny := pool.service(serviceName), false
+		subset := pool.subset(s, "", now)
+		for _, e := range s.endpoints {
+			limit := max(0, pool.connectionLimit(e, s, subset, now))
+			if !pool.healthy(e, now) {
 				continue
 			}
-			sum[p.ID] += n
-			any = any || n > 0
+			sums[e.ID] += limit
+			reachesAny = reachesAny || limit > 0
 		}
-		if !any {
+		if !reachesAny {
 			without++
 		}
 	}
-	return sum, without
+	return sums, without
 }
 
-func all(n int) FrontCounts { return FrontCounts{All: n, Region: n / 3, Zone: n / 6} }
-
-// More fronts than connections: together they stay within the limit, nobody
-// is left without a searcher and no searcher without fronts.
+// More fronts than connections: together they stay within the limit, and no
+// front is left without an endpoint, nor an endpoint without fronts.
 func TestFrontsOutnumberConnections(t *testing.T) {
-	const n, limit, shards = 300, 250, 5
-	for name, seen := range map[string]func(int) FrontCounts{
-		"all agree":           func(int) FrontCounts { return all(n) },
-		"a third counts less": func(i int) FrontCounts { return all(n - 45*(i%3/2)) },
-	} {
-		fronts := fleet(n, limit, shards, seen)
-		for s := 0; s < shards; s++ {
-			sum, without := taken(fronts, fmt.Sprintf("s%d", s))
-			if without > 0 {
-				t.Errorf("%s: %d fronts reach nobody", name, without)
+	const fronts, limit, shards = 300, 250, 5
+	checkSums := func(t *testing.T, sums map[string]int) {
+		t.Helper()
+		for id, n := range sums {
+			if n > limit || n < fronts/fleetZones {
+				t.Errorf("%d connections to %s", n, id)
 			}
-			for id, c := range sum {
-				if c > limit || c < n/6 {
-					t.Errorf("%s: %d connections to %s", name, c, id)
+		}
+	}
+	for name, counts := range map[string]func(i int) FrontCounts{
+		"all agree":           func(int) FrontCounts { return evenCounts(fronts) },
+		"a third counts less": func(i int) FrontCounts { return evenCounts(fronts - 45*(i%3/2)) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			pools := newFleet(t, fronts, limit, shards, counts)
+			for shard := range shards {
+				sums, without := allowedConnections(pools, fmt.Sprintf("s%d", shard))
+				if without > 0 {
+					t.Errorf("%d fronts reach no endpoint", without)
 				}
+				checkSums(t, sums)
 			}
-		}
-		// All but two searchers of a shard are ill: others take their place, within the limit still.
-		for _, g := range fronts {
-			for z := 0; z < 4; z++ {
-				g.endpoints[fmt.Sprintf("i-0-%d", z)].consecutiveFailures = 3
+			// Only two endpoints of a shard are healthy: these take the others'
+			// place, still within the limit.
+			for _, pool := range pools {
+				for zone := range 4 {
+					pool.endpoints[fmt.Sprintf("i-0-%d", zone)].consecutiveFailures = 3
+				}
 			}
-		}
-		sum, without := taken(fronts, "s0")
-		if without > n*2/3 {
-			t.Errorf("%s: %d fronts reach nobody of the two left", name, without)
-		}
-		for id, c := range sum {
-			if c > limit || c < n/6 {
-				t.Errorf("%s, four ill: %d connections to %s", name, c, id)
+			sums, without := allowedConnections(pools, "s0")
+			if without > fronts*2/3 {
+				t.Errorf("%d fronts reach neither of the two healthy endpoints", without)
 			}
-		}
+			checkSums(t, sums)
+		})
 	}
-	// Where there are enough connections, everybody may reach all, as before.
-	sum, _ := taken(fleet(60, 250, 1, func(int) FrontCounts { return all(60) }), "s0")
-	if sum["i-0-0"] != 240 {
-		t.Fatalf("%d of 250 connections used by 60 fronts", sum["i-0-0"])
+}
+
+// Where there are enough connections, each front has its part of those to every
+// endpoint.
+func TestConnectionsOutnumberFronts(t *testing.T) {
+	pools := newFleet(t, 60, 250, 1, func(int) FrontCounts { return evenCounts(60) })
+	sums, _ := allowedConnections(pools, "s0")
+	if sums["i-0-0"] != 240 {
+		t.Fatalf("%d of 250 connections used by 60 fronts", sums["i-0-0"])
 	}
 }
 
-// A searcher that shuts a new connection has too many, and is not taken for dead.
-func TestShutIsNotDead(t *testing.T) {
-	g := fleet(1, 250, 1, func(int) FrontCounts { return all(300) })[0]
-	g.OnUnhealthy = func(id string) { t.Fatalf("%s was called silent", id) }
-	for i := 0; i < 6; i++ {
-		p, start := g.Pick(Selector{Service: "s0"}, nil, 100*time.Millisecond, false)
-		g.record(p, &Attempt{Outcome: OutcomeUnknown, closedOnConnect: true}, start)
-		if p.consecutiveFailures > 0 {
-			t.Fatal("a shut connection counts as a failure")
-		}
-		if q, again := g.Pick(Selector{Service: "s0"}, nil, 100*time.Millisecond, false); q == p {
-			t.Fatal("it is asked again at once")
-		} else {
-			g.CancelPick(q, again)
+// All nodes must compute the same hashes, in every version.
+func TestHashString(t *testing.T) {
+	for s, want := range map[string]uint64{
+		"":            0xf52a15e9a9b5e89b,
+		"front-0 i-1": 0x158956ad24a24bd0,
+		"front-0 i-2": 0xc116be6df96492c2,
+	} {
+		if got := HashString(s); got != want {
+			t.Errorf("HashString(%q) = %#x, want %#x", s, got, want)
 		}
-		p.ejectedUntil = time.Time{}
 	}
 }
--- a/internal/upstream/unreachable_test.go
+++ b/internal/upstream/unreachable_test.go
@@ -1,64 +1,68 @@
 package upstream
 
 import (
+	"fmt"
 	"os"
 	"slices"
 	"testing"
 	"time"
 )
 
-// A node tells of searchers that did not answer it, unless it seems ill
-// itself; what others tell sends it elsewhere until an answer proves them wrong.
-func TestMissedAndTold(t *testing.T) {
-	g := fleet(1, 250, 8, func(int) FrontCounts { return all(6) })[0]
-	target := 100 * time.Millisecond
-	misses := 0
-	g.OnUnreachable = func() { misses++ }
-	end := func(p *Endpoint, o Attempt, took time.Duration) {
-		g.record(p, &o, time.Now().Add(-took))
+var (
+	testAnswered = Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}
+	testTimedOut = Attempt{Outcome: OutcomeUnknown, Err: os.ErrDeadlineExceeded}
+)
+
+// A node reports endpoints that did not answer it, unless the fault seems its
+// own.
+func TestUnreachableOrdinals(t *testing.T) {
+	pool := newFleet(t, 1, 250, 8, func(int) FrontCounts { return evenCounts(6) })[0]
+	calls := 0
+	pool.OnUnreachable = func() { calls++ }
+	localEndpoint := func(shard int) *Endpoint { return pool.endpoints[fmt.Sprintf("i-%d-0", shard)] }
+	for shard := range 6 {
+		endAttempt(pool, localEndpoint(shard), testAnswered, 5*time.Millisecond)
 	}
-	answered := Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}
-	late := Attempt{Outcome: OutcomeUnknown, Err: os.ErrDeadlineExceeded}
-	for s := 0; s < 6; s++ {
-		end(g.endpoints["i-"+string(rune('0'+s))+"-0"], answered, 5*time.Millisecond)
+	e := localEndpoint(1)
+	pool.services["s1"].latency.p50 = 5
+	endAttempt(pool, e, testTimedOut, 8*time.Millisecond)
+	if calls != 0 || len(pool.UnreachableOrdinals(time.Second)) != 0 {
+		t.Fatal("an endpoint that was given no time is reported")
 	}
-	near := g.endpoints["i-1-0"]
-	g.services["s1"].latency.p50 = 5
-	end(near, late, 8*time.Millisecond)
-	if misses != 0 || len(g.UnreachableOrdinals(time.Second)) != 0 {
-		t.Fatal("a searcher that was given no time is told of")
+	endAttempt(pool, e, testTimedOut, 300*time.Millisecond)
+	if got := pool.UnreachableOrdinals(time.Second); calls != 1 || !slices.Equal(got, []int64{e.Ordinal}) {
+		t.Fatalf("unreachable are %v, after %d calls of OnUnreachable", got, calls)
 	}
-	end(near, late, 300*time.Millisecond)
-	if got := g.UnreachableOrdinals(time.Second); misses != 1 || !slices.Equal(got, []int64{near.Ordinal}) {
-		t.Fatalf("missed %v, told %d times", got, misses)
+	for shard := 2; shard < 5; shard++ {
+		e := localEndpoint(shard)
+		pool.services[e.Service].latency.p50 = 5
+		endAttempt(pool, e, testTimedOut, 300*time.Millisecond)
 	}
-	for s := 2; s < 5; s++ {
-		p := g.endpoints["i-"+string(rune('0'+s))+"-0"]
-		g.services[p.Service].latency.p50 = 5
-		end(p, late, 300*time.Millisecond)
+	if got := pool.UnreachableOrdinals(time.Second); got != nil {
+		t.Fatalf("a node that is at fault itself reports %v", got)
 	}
-	if got := g.UnreachableOrdinals(time.Second); got != nil {
-		t.Fatalf("a node that is ill itself accuses %v", got)
+}
+
+// An endpoint that other nodes report is a last resort, until it answers.
+func TestMarkUnreachable(t *testing.T) {
+	pool := newFleet(t, 1, 250, 8, func(int) FrontCounts { return evenCounts(6) })[0]
+	local := pool.endpoints["i-7-0"]
+	selector := Selector{Service: "s7"}
+	if pickID(pool, selector, false) != local.ID {
+		t.Fatal("the local endpoint is not preferred")
 	}
-	near = g.endpoints["i-7-0"]
-	if p, start := g.Pick(Selector{Service: "s7"}, nil, target, false); p != near {
-		t.Fatal("the near one is not preferred")
-	} else {
-		g.CancelPick(p, start)
+	pool.MarkUnreachable([]int64{local.Ordinal}, time.Now().Add(time.Minute))
+	if pickID(pool, selector, false) == local.ID {
+		t.Fatal("the report has no effect")
 	}
-	g.MarkUnreachable([]int64{near.Ordinal}, time.Now().Add(time.Minute))
-	if p, start := g.Pick(Selector{Service: "s7"}, nil, target, false); p == near {
-		t.Fatal("what others tell is not heard")
-	} else {
-		g.CancelPick(p, start)
+	if pickID(pool, Selector{Service: "s7", IDs: []string{local.ID}}, false) != local.ID {
+		t.Fatal("the last resort is not picked")
 	}
-	if p, start := g.Pick(Selector{Service: "s7", IDs: []string{near.ID}}, nil, target, false); p != near {
-		t.Fatal("the last resort is not asked")
-	} else {
-		g.CancelPick(p, start)
+	if n := pool.Stats().ReportedUnreachable; n != 1 {
+		t.Fatalf("%d endpoints count as reported", n)
 	}
-	end(near, answered, 5*time.Millisecond)
-	if p, _ := g.Pick(Selector{Service: "s7"}, nil, target, false); p != near {
-		t.Fatal("an answer does not prove the others wrong")
+	endAttempt(pool, local, testAnswered, 5*time.Millisecond)
+	if pickID(pool, selector, false) != local.ID {
+		t.Fatal("an answer does not override the report")
 	}
 }
