--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -237,7 +237,6 @@
 		PhaseAge:      now - c.phaseKnownAt[r.OrderSlot].at,
 		Finding:       e.Finding(),
 		RequestRate:   e.RequestRate(now),
-		New:           e.NewAttempts,
 		GoodAnswers:   e.GoodAnswers,
 		Evidence:      own.Evidence[r.OrderSlot],
 		ReadySlots:    capacity.targetWarm,
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,5 +1,12 @@
-// Package belay is the rollout controller: it decides how far a new version
-// of a service's searchers may go. Fronts count what they see of both
-// versions, huts merge the counts and run control charts over them, and what
-// the charts propose the log decides. All of it is pure.
+// Package rollout decides how far a new version of a service's endpoints may
+// go: canary analysis by control charts. Every front counts its attempts at
+// both versions in a Recorder; control nodes merge the counts in an Aggregator;
+// the holder of the polling lease runs charts (package cusum) over them in an
+// Evaluator, and Decide proposes the next phase, which is agreed in the log
+// (package consensus). A TrafficSplit tells each front to which version a
+// request may go in the present phase.
+//
+// Everything here is pure: no clock, no network, no goroutine. The times given
+// are those of the caller's monotonic clock. docs/design.md cites the source of
+// the charts and what was changed.
 package rollout
