--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -336,16 +336,23 @@
 	Packed   []byte
 }
 
-func loadAll(t *testing.T, c *storage.Store) (all storedAll) {
+func loadAll(t *testing.T, c *storage.Store) storedAll {
 	t.Helper()
-	err := records.Load(c, map[string]any{records.KeyTerms: &all.Terms, records.KeyIdentity: &all.Identity, records.KeyLeases: &all.Leases, records.KeyTable: &all.Table, records.KeyFrontCount: &all.Fronts, records.KeyIncarnation: &all.Life})
+	stored, err := records.Load(c, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all.State, all.Ballots, all.Packed, err = records.LoadState(c, 1<<20); err != nil {
-		t.Fatal(err)
+	return storedAll{
+		Identity: stored.Identity,
+		Life:     stored.Incarnation,
+		Leases:   stored.Leases,
+		Table:    stored.Table,
+		Fronts:   stored.FrontCount,
+		Terms:    stored.RolloutClock,
+		State:    stored.State,
+		Ballots:  stored.Ballot,
+		Packed:   stored.AcceptedBody,
 	}
-	return all
 }
 
 // A store that an earlier program left, of several lives, is read as it was
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -219,8 +219,3 @@
 func (s *Server) readDuringProposal(deadline time.Time) (consensus.State, bool) {
 	return s.readQuorum(min(s.acknowledgeTime(proposalReadRatio), time.Until(deadline)))
 }
-
-// acknowledgeTime is a part of the time in which a change is to be acknowledged.
-func (s *Server) acknowledgeTime(ratio float64) time.Duration {
-	return config.Milliseconds(s.host.Settings().Bounds.AcknowledgeMs, ratio)
-}
--- a/internal/control/consensus.go
+++ b/internal/control/consensus.go
@@ -1,195 +1,138 @@
 package control
 
 import (
-	"slices"
 	"swiftswitch/internal/codec"
+	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/records"
-	"time"
-
-	"swiftswitch/internal/config"
-	"swiftswitch/internal/consensus"
-	"swiftswitch/internal/events"
 )
 
-// What huts tell each other about ballots and decided state. Bodies travel as
-// what they add to one that the other holds: all who may vote on a slot hold
-// the one in force before it.
+// A configuration body travels compressed against that of the state before the
+// slot: whoever may vote on a slot holds that state.
 
-// handleConsensus lets the acceptor answer. What the answer rests on is on disk before
-// it leaves, whoever wrote it and however often that was refused.
-func (h *Server) handleConsensus(m nodeapi.ConsensusRequest) (say nodeapi.ConsensusResponse, err error) {
+// handleConsensus answers a prepare or an accept request of another node, or of
+// this one. What the response rests on is on disk before it leaves, whichever
+// request caused the write, and however often an earlier write failed.
+func (r *replica) handleConsensus(request nodeapi.ConsensusRequest) (response nodeapi.ConsensusResponse, err error) {
 	done := make(chan error, 1)
-	h.loop.Call(func() {
-		if v := m.Value; v != nil && v.Body == "" && m.PackedBody != nil && m.Slot == h.acceptor.State.Slot+1 {
-			whole := *v
-			if whole.Body, err = codec.DecompressDelta(h.acceptor.State.Body, m.PackedBody, h.host.MaxMessageBytes()); err != nil {
-				done <- err
-				return
-			}
-			m.Value = &whole
-		}
-		was := h.acceptor.AcceptedBallot
-		var needs int64
-		say.Response, needs = h.acceptor.Handle(m.Request)
-		h.highestRound = max(h.highestRound, m.Ballot.Round, h.acceptor.Promised.Round)
-		if h.acceptor.AcceptedBallot != was {
-			h.packedValue = m.PackedBody
-		}
-		if say.AcceptedValue != nil {
-			say.AcceptedValue, say.PackedBody = nodeapi.WithoutBody(say.AcceptedValue, h.packedValue), h.packedValue
-		}
-		if say.NewerState != nil {
-			say.NewerState, say.Delta = nil, h.stateDelta(m.Slot-1)
+	r.loop.Call(func() {
+		if err := r.unpackRequest(&request); err != nil {
+			done <- err
+			return
 		}
-		if h.acceptor.IsDurable(needs) {
+		var restsOn int64
+		response, restsOn = r.respond(request)
+		if r.acceptor.IsDurable(restsOn) {
 			done <- nil
 			return
 		}
-		b, mark := h.acceptor.BallotState()
-		b.AcceptedValue = nodeapi.WithoutBody(b.AcceptedValue, h.packedValue)
-		h.writeRecord(records.KeyBallot, records.Ballot{BallotState: b, Packed: h.packedValue}, func(e error) {
-			if e == nil {
-				h.loop.Submit(func() { h.acceptor.MarkDurable(mark) })
-			}
-			done <- e
-		})
+		r.persistBallot(done)
 	})
-	select {
-	case err = <-done:
-	case <-time.After(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.5)):
-		err = ErrDiskTooSlow
-	}
-	return say, err
+	err = awaitWrite(done, r.acknowledgeTime(durableTimeoutRatio))
+	return response, err
 }
 
-// unpackResponse opens a reply to a ballot on base: what was packed for the wire is
-// whole again.
-func (h *Server) unpackResponse(base consensus.State, say nodeapi.ConsensusResponse) (consensus.Response, error) {
-	if say.AcceptedValue != nil && say.PackedBody != nil {
-		body, err := codec.DecompressDelta(base.Body, say.PackedBody, h.host.MaxMessageBytes())
-		if err != nil {
-			return say.Response, err
-		}
-		whole := *say.AcceptedValue
-		whole.Body = body
-		say.AcceptedValue = &whole
+// unpackRequest decompresses the body of the value, if the request has one and
+// is for the slot whose base this node holds. The acceptor rejects it for any
+// other. It runs on the loop.
+func (r *replica) unpackRequest(request *nodeapi.ConsensusRequest) error {
+	value := request.Value
+	if value == nil || value.Body != "" || request.PackedBody == nil || request.Slot != r.acceptor.State.Slot+1 {
+		return nil
 	}
-	if say.Delta != nil {
-		n, err := say.Delta.Unpack(func(v int64) (string, bool) { return base.Body, v == base.Version }, h.host.MaxMessageBytes())
-		if err != nil {
-			return say.Response, err
-		}
-		if s, ok := base.ApplyDelta(n); ok {
-			say.NewerState = &s
-		}
+	body, err := codec.DecompressDelta(r.acceptor.State.Body, request.PackedBody, r.host.MaxMessageBytes())
+	if err != nil {
+		return err
 	}
-	return say.Response, nil
+	unpacked := *value
+	unpacked.Body = body
+	request.Value = &unpacked
+	return nil
 }
 
-// stateDelta gives what a node at slot from lacks, packed once for all who are
-// there; it runs on the desk.
-func (h *Server) stateDelta(from int64) *nodeapi.StateDelta {
-	if n, ok := h.stateDeltas[from]; ok {
-		return n
+// respond lets the acceptor answer, and makes the response ready for the wire.
+// restsOn is the write that must be durable before it is sent. It runs on the loop.
+func (r *replica) respond(request nodeapi.ConsensusRequest) (response nodeapi.ConsensusResponse, restsOn int64) {
+	acceptedBefore := r.acceptor.AcceptedBallot
+	response.Response, restsOn = r.acceptor.Handle(request.Request)
+	r.highestRound = max(r.highestRound, request.Ballot.Round, r.acceptor.Promised.Round)
+	if r.acceptor.AcceptedBallot != acceptedBefore {
+		r.acceptedBody = request.PackedBody
 	}
-	s := h.acceptor.State
-	n := &nodeapi.StateDelta{StateDelta: s.DeltaSince(from)}
-	if n.Body != "" {
-		base := ""
-		if v := s.VersionAt(from); v > 0 {
-			for _, b := range h.pastBodies {
-				if b.Version == v {
-					base, n.BaseVersion = b.Body, v
-				}
-			}
-		}
-		packed, err := codec.CompressDelta(base, n.Body)
-		if err != nil {
-			events.Log(events.InvariantViolated, "err", err)
-			panic(err)
-		}
-		n.Body, n.PackedBody = "", packed
+	if response.AcceptedValue != nil {
+		response.AcceptedValue = nodeapi.WithoutBody(response.AcceptedValue, r.acceptedBody)
+		response.PackedBody = r.acceptedBody
 	}
-	if len(h.stateDeltas) >= maxStateDeltas {
-		clear(h.stateDeltas)
+	if response.NewerState != nil {
+		response.NewerState, response.Delta = nil, r.stateDelta(request.Slot-1)
 	}
-	h.stateDeltas[from] = n
-	return n
+	return response, restsOn
 }
 
-// maxStateDeltas bounds for how many slots news are kept packed.
-const maxStateDeltas = 16
+// persistBallot writes the promise and the accepted value; the result of the
+// write goes to done. It runs on the loop.
+func (r *replica) persistBallot(done chan<- error) {
+	ballot, writeSeq := r.acceptor.BallotState()
+	ballot.AcceptedValue = nodeapi.WithoutBody(ballot.AcceptedValue, r.acceptedBody)
+	record := records.Ballot{BallotState: ballot, Packed: r.acceptedBody}
+	records.BallotRecord.Put(r.store, record, func(err error) {
+		if err == nil {
+			r.loop.Submit(func() { r.acceptor.MarkDurable(writeSeq) })
+		}
+		done <- err
+	})
+}
 
-// applyStateDelta learns from another hut and tells whether the news fitted; it runs on the desk.
-func (h *Server) applyStateDelta(n *nodeapi.StateDelta, how string) bool {
-	if n.Slot <= h.acceptor.State.Slot && len(h.acceptor.State.Voters) > 0 {
-		return true
+// unpackResponse decompresses what a voter answered to a ballot on base, and
+// makes the newer state of the delta that stands for it.
+func (r *replica) unpackResponse(base consensus.State, response nodeapi.ConsensusResponse) (consensus.Response, error) {
+	if response.AcceptedValue != nil && response.PackedBody != nil {
+		body, err := codec.DecompressDelta(base.Body, response.PackedBody, r.host.MaxMessageBytes())
+		if err != nil {
+			return response.Response, err
+		}
+		unpacked := *response.AcceptedValue
+		unpacked.Body = body
+		response.AcceptedValue = &unpacked
 	}
-	whole, err := n.Unpack(func(v int64) (string, bool) {
-		if v == h.acceptor.State.Version {
-			return h.acceptor.State.Body, true
+	if response.Delta != nil {
+		bodyOf := func(version int64) (string, bool) { return base.Body, version == base.Version }
+		delta, err := response.Delta.Unpack(bodyOf, r.host.MaxMessageBytes())
+		if err != nil {
+			return response.Response, err
 		}
-		at := slices.IndexFunc(h.pastBodies, func(b records.Body) bool { return b.Version == v })
-		if at < 0 {
-			return "", false
+		if newer, ok := base.ApplyDelta(delta); ok {
+			response.NewerState = &newer
 		}
-		return h.pastBodies[at].Body, true
-	}, h.host.MaxMessageBytes())
-	if err != nil {
-		events.Log(events.MessageRejected, "message", "state-delta", "from_slot", n.FromSlot, "slot", n.Slot, "err", err)
-		return false
-	}
-	s, ok := h.acceptor.State.ApplyDelta(whole)
-	if !ok {
-		return false
-	}
-	if len(h.acceptor.State.Voters) == 0 && s.Slot == 0 {
-		// The state before the first slot: nothing was decided yet.
-		h.acceptor.State = s
-		h.applyVoters()
-		h.persistState()
-		return true
 	}
-	h.learn(s, how)
-	return true
+	return response.Response, nil
 }
 
-// handleLearn takes word of a decided slot. The answer names the slot up to
-// which this node has it all on disk.
-func (h *Server) handleLearn(m nodeapi.LearnRequest) nodeapi.LearnResponse {
-	h.loop.Call(func() {
-		if m.Delta != nil {
-			h.applyStateDelta(m.Delta, "told")
-		} else if m.Slot == h.acceptor.State.Slot+1 && h.acceptor.AcceptedValue != nil && h.acceptor.AcceptedBallot == m.Ballot {
-			h.learn(h.acceptor.State.Apply(*h.acceptor.AcceptedValue), "accepted")
+// handleLearn takes the news that a slot is decided. The response names the slot
+// up to which this node has the state on disk.
+func (r *replica) handleLearn(request nodeapi.LearnRequest) nodeapi.LearnResponse {
+	r.loop.Call(func() {
+		state := r.acceptor.State
+		switch {
+		case request.Delta != nil:
+			r.applyStateDelta(request.Delta, "told")
+		case request.Slot == state.Slot+1 && r.acceptor.AcceptedValue != nil && r.acceptor.AcceptedBallot == request.Ballot:
+			// A ballot proposes one value, so what was accepted under the
+			// ballot that was chosen is the chosen value.
+			r.learn(state.Apply(*r.acceptor.AcceptedValue), "accepted")
 		}
 	})
-	return nodeapi.LearnResponse{DurableSlot: h.waitDurable()}
+	return nodeapi.LearnResponse{DurableSlot: r.waitDurable()}
 }
 
-// sendState brings another hut up to what this one knows, and gives the slot up
-// to which the other has it on disk then, below 0 where it did not answer.
-// held is the slot that the other is known to hold.
-func (h *Server) sendState(ip string, held int64, within time.Duration) int64 {
-	until := time.Now().Add(within)
-	for _, from := range []int64{held, consensus.NoSlot} {
-		var m nodeapi.LearnRequest
-		h.loop.Call(func() {
-			m = nodeapi.LearnRequest{Slot: h.acceptor.State.Slot}
-			if from > m.Slot {
-				from = m.Slot
-			}
-			m.Delta = h.stateDelta(from)
-		})
-		var say nodeapi.LearnResponse
-		if h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathLearn, m, &say, time.Until(until)) != nil {
-			return -1
+// handlePeek tells what this voter knows of the open slot; reads of other nodes ask.
+func (r *replica) handlePeek() (response nodeapi.PeekResponse, _ error) {
+	r.loop.Call(func() {
+		response = nodeapi.PeekResponse{
+			AcceptorID:  r.acceptor.ID,
+			DecidedSlot: r.acceptor.State.Slot,
+			HasAccepted: r.acceptor.AcceptedValue != nil,
 		}
-		if say.DurableSlot >= m.Slot || from == consensus.NoSlot || time.Now().After(until) {
-			events.Log(events.HintsDelivered, "to", ip, "slot", say.DurableSlot)
-			return say.DurableSlot
-		}
-	}
-	return -1
+	})
+	return response, nil
 }
--- a/internal/control/internal_api.go
+++ b/internal/control/internal_api.go
@@ -109,18 +109,6 @@
 	transport.WriteError(c, httpStatus(err), err.Error())
 }
 
-// handlePeek tells what this voter knows of the open slot; the reads of other nodes ask.
-func (s *Server) handlePeek() (response nodeapi.PeekResponse, _ error) {
-	s.loop.Call(func() { response = s.peek() })
-	return response, nil
-}
-
-// handleState gives a node that is at a slot what it lacks.
-func (s *Server) handleState(request nodeapi.StateRequest) (delta *nodeapi.StateDelta) {
-	s.loop.Call(func() { delta = s.stateDelta(min(request.Slot, s.acceptor.State.Slot)) })
-	return delta
-}
-
 // handleVersion gives a front the newest configuration. Its response is not
 // JSON like the others: the body is the gzipped configuration, or its
 // difference to the one held, as it was packed for all who hold the same, and
--- a/internal/control/persist.go
+++ b/internal/control/persist.go
@@ -2,72 +2,108 @@
 
 import (
 	"slices"
-	"swiftswitch/internal/config"
-	"swiftswitch/internal/records"
 	"time"
+
+	"swiftswitch/internal/records"
 )
 
-// persistState writes the decided state; what is large is written only where it
-// changed. It runs on the desk.
-func (h *Server) persistState() {
-	s := h.acceptor.State
-	version, seq := h.lastWrite.version, h.lastWrite.takenSeq
-	h.lastWrite.version, h.lastWrite.takenSeq = s.Version, s.AppliedCount
-	h.store.PutAll(records.StateRecords(s, version, seq), func(err error) {
-		h.loop.Submit(func() {
+const (
+	// durableTimeoutRatio, of Bounds.AcknowledgeMs, is how long an answer waits
+	// for what it rests on to be on disk.
+	durableTimeoutRatio = 0.5
+	// rewriteHeartbeats is after how many heartbeat intervals a state
+	// whose write failed is written again.
+	rewriteHeartbeats = 0.1
+)
+
+// writtenState tells which parts of a state were queued for the disk.
+type writtenState struct {
+	version, appliedCount int64
+}
+
+// durabilityWaiter waits until a slot is on disk; done is closed then.
+type durabilityWaiter struct {
+	slot int64
+	done chan struct{}
+}
+
+// persistState queues the decided state for the disk; what is large is written
+// only where it changed. It runs on the loop.
+func (r *replica) persistState() {
+	state, before := r.acceptor.State, r.written
+	r.written = writtenState{state.Version, state.AppliedCount}
+	changed := records.StateRecords(state, before.version, before.appliedCount)
+	r.store.PutAll(changed, func(err error) {
+		r.loop.Submit(func() {
 			if err == nil {
-				h.acceptor.MarkStateDurable(s.Slot)
-				h.wakeDurabilityWaiters()
+				r.acceptor.MarkStateDurable(state.Slot)
+				r.wakeDurabilityWaiters()
 				return
 			}
-			// The store writes every record again; only nobody is told of it.
-			h.lastWrite.version, h.lastWrite.takenSeq = min(h.lastWrite.version, version), min(h.lastWrite.takenSeq, seq)
-			time.AfterFunc(h.host.Heartbeats(0.1), func() {
-				h.loop.Submit(func() {
-					if h.acceptor.DurableSlot() < h.acceptor.State.Slot {
-						h.persistState()
-					}
-				})
-			})
+			r.retryPersistState(before)
 		})
 	})
 }
 
-// wakeDurabilityWaiters answers those that wait for the state to be on disk; it runs on the desk.
-func (h *Server) wakeDurabilityWaiters() {
-	h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(w durabilityWaiter) bool {
-		if w.slot > h.acceptor.DurableSlot() {
+// retryPersistState writes the state again a little later, after a write of what
+// changed since before failed. The store itself writes every record again once
+// its disk is back, but reports that to nobody; this write is reported. It runs
+// on the loop.
+func (r *replica) retryPersistState(before writtenState) {
+	r.written.version = min(r.written.version, before.version)
+	r.written.appliedCount = min(r.written.appliedCount, before.appliedCount)
+	time.AfterFunc(r.host.Heartbeats(rewriteHeartbeats), func() {
+		r.loop.Submit(func() {
+			if r.acceptor.DurableSlot() < r.acceptor.State.Slot {
+				r.persistState()
+			}
+		})
+	})
+}
+
+// wakeDurabilityWaiters wakes those whose slot is on disk. It runs on the loop.
+func (r *replica) wakeDurabilityWaiters() {
+	r.durabilityWaiters = slices.DeleteFunc(r.durabilityWaiters, func(waiter durabilityWaiter) bool {
+		if waiter.slot > r.acceptor.DurableSlot() {
 			return false
 		}
-		close(w.done)
+		close(waiter.done)
 		return true
 	})
 }
 
-type durabilityWaiter struct {
-	slot int64
-	done chan struct{}
-}
-
-// waitDurable waits until what this node knows as decided is on its disk, or for a
-// while, and gives the slot up to which it is.
-func (h *Server) waitDurable() (slot int64) {
-	w := durabilityWaiter{done: make(chan struct{})}
-	h.loop.Call(func() {
-		if w.slot = h.acceptor.State.Slot; w.slot <= h.acceptor.DurableSlot() {
-			close(w.done)
+// waitDurable waits, for a bounded time, until the state that this node holds
+// now is on its disk. It returns the slot up to which the state is.
+func (r *replica) waitDurable() (slot int64) {
+	waiter := durabilityWaiter{done: make(chan struct{})}
+	r.loop.Call(func() {
+		waiter.slot = r.acceptor.State.Slot
+		if waiter.slot <= r.acceptor.DurableSlot() {
+			close(waiter.done)
 			return
 		}
-		h.durabilityWaiters = append(h.durabilityWaiters, w)
+		r.durabilityWaiters = append(r.durabilityWaiters, waiter)
 	})
 	select {
-	case <-w.done:
-	case <-time.After(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.5)):
-	case <-h.host.Stopping:
+	case <-waiter.done:
+	case <-time.After(r.acknowledgeTime(durableTimeoutRatio)):
+	case <-r.host.Stopping:
 	}
-	h.loop.Call(func() {
-		slot = h.acceptor.DurableSlot()
-		h.durabilityWaiters = slices.DeleteFunc(h.durabilityWaiters, func(x durabilityWaiter) bool { return x.done == w.done })
+	r.loop.Call(func() {
+		slot = r.acceptor.DurableSlot()
+		r.durabilityWaiters = slices.DeleteFunc(r.durabilityWaiters, func(other durabilityWaiter) bool {
+			return other.done == waiter.done
+		})
 	})
 	return slot
 }
+
+// awaitWrite waits for the result of a write that an answer rests on.
+func awaitWrite(done <-chan error, timeout time.Duration) error {
+	select {
+	case err := <-done:
+		return err
+	case <-time.After(timeout):
+		return ErrDiskTooSlow
+	}
+}
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -2,201 +2,174 @@
 
 import (
 	"math/rand/v2"
-	"swiftswitch/internal/codec"
-	"swiftswitch/internal/nodeapi"
 	"time"
 
-	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/events"
+	"swiftswitch/internal/nodeapi"
+)
+
+// Parts of Bounds.AcknowledgeMs.
+const (
+	// ballotCallRatio bounds one prepare or accept request to one voter.
+	ballotCallRatio = 0.3
+	// minBackoffRatio is the least pause after a ballot that failed. Each
+	// attempt, up to maxBackoffSteps, adds backoffStepRatio to the range that
+	// the pause is drawn from.
+	minBackoffRatio  = 0.002
+	backoffStepRatio = 0.008
+	maxBackoffSteps  = 6
 )
 
-// backOff backs off for a random part of the time for an acknowledgement.
-func (h *Server) backOff(try int) {
-	most := 0.008 * float64(min(try+1, 6))
-	time.Sleep(config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.002+most*rand.Float64()))
+// finishAcceptedHeartbeats is how often a voter looks for an accepted value
+// whose slot stays open, in heartbeat intervals.
+const finishAcceptedHeartbeats = 0.4
+
+// backOff sleeps for a random time after an attempt failed, so that proposers
+// that preempt each other get out of step.
+func (r *replica) backOff(attempt int) {
+	spread := backoffStepRatio * float64(min(attempt+1, maxBackoffSteps))
+	time.Sleep(r.acknowledgeTime(minBackoffRatio + spread*rand.Float64()))
 }
 
-// propose runs one ballot on the slot after base, the state that own was made
-// for: had this node moved on in the meantime, own would rest on something
-// that is no longer so. It returns true when the node's state is a later one
-// in the end, whoever's value it was.
-func (h *Server) propose(base consensus.State, own *consensus.Value) bool {
-	return h.proposeUntil(base, own, time.Time{})
+// propose runs one ballot for the slot after base, the state that own was made
+// for. It reports whether the node's state is a later one in the end, whoever's
+// value was chosen. A nil own proposes nothing new: the ballot only finishes
+// what an earlier one may have begun.
+func (r *replica) propose(base consensus.State, own *consensus.Value) bool {
+	return r.proposeUntil(base, own, time.Time{})
 }
 
-// proposeUntil is a round that proposes nothing of its own once until is past,
-// whatever this node was held up by since it asked for promises.
-func (h *Server) proposeUntil(base consensus.State, own *consensus.Value, until time.Time) bool {
-	var b consensus.Ballot
-	moved := false
-	h.loop.Call(func() {
-		moved = h.acceptor.State.Slot != base.Slot
-		h.highestRound++
-		b = consensus.Ballot{Round: h.highestRound, ProposerID: h.acceptor.ID, Incarnation: h.incarnation}
-	})
-	if moved {
+// proposeUntil is propose, but sends no accept request for own after the
+// deadline, whatever this node was held up by since it asked for promises: its
+// caller has gone on by then, and must not find the value chosen later. A value
+// that was adopted from an earlier ballot is proposed all the same. The zero
+// deadline is none.
+func (r *replica) proposeUntil(base consensus.State, own *consensus.Value, deadline time.Time) bool {
+	ballot, ok := r.nextBallot(base)
+	if !ok {
 		return true
 	}
-	p := consensus.NewProposer(base, b, own)
-	for p.Stage <= consensus.StageAccepting {
-		if p.Stage == consensus.StageAccepting && p.ValueIsOwn && !until.IsZero() && time.Now().After(until) {
-			p.Stage = consensus.StageAborted
+	proposer := consensus.NewProposer(base, ballot, own)
+	for !proposer.Done() {
+		late := !deadline.IsZero() && time.Now().After(deadline)
+		if late && proposer.Stage == consensus.StageAccepting && proposer.ValueIsOwn {
+			proposer.Abort()
 			break
 		}
-		stage, m := p.Stage, nodeapi.ConsensusRequest{Request: p.Request()}
-		if v := m.Value; v != nil && v.Body != "" {
-			packed, err := codec.CompressDelta(base.Body, v.Body)
+		r.runStage(proposer)
+	}
+	return r.endBallot(proposer)
+}
+
+// nextBallot draws a ballot above all that were seen. ok is false where this
+// node has moved on from base: a value that was made for base would rest on
+// what is no longer so.
+func (r *replica) nextBallot(base consensus.State) (ballot consensus.Ballot, ok bool) {
+	r.loop.Call(func() {
+		ok = r.acceptor.State.Slot == base.Slot
+		r.highestRound++
+		ballot = consensus.Ballot{Round: r.highestRound, ProposerID: r.acceptor.ID, Incarnation: r.incarnation}
+	})
+	return ballot, ok
+}
+
+// voterResponse is a voter's answer, or why there is none.
+type voterResponse struct {
+	response consensus.Response
+	err      error
+}
+
+// runStage sends the request of the proposer's stage to all voters at once and
+// hands it their responses as they come, until they change its stage. A stage
+// that all responses leave undecided ends the ballot.
+func (r *replica) runStage(proposer *consensus.Proposer) {
+	stage, base := proposer.Stage, proposer.Base
+	request := packRequest(base, proposer.Request())
+	responses := make(chan voterResponse, len(base.Voters))
+	for _, voter := range base.Voters {
+		go func() {
+			response, err := r.callVoter(voter, request)
 			if err != nil {
-				events.Log(events.InvariantViolated, "err", err)
-				panic(err)
+				responses <- voterResponse{err: err}
+				return
 			}
-			m.Value, m.PackedBody = nodeapi.WithoutBody(v, packed), packed
-		}
-		type heard struct {
-			say consensus.Response
-			err error
-		}
-		in := make(chan heard, len(base.Voters))
-		for _, v := range base.Voters {
-			go func() {
-				var x heard
-				var say nodeapi.ConsensusResponse
-				if v.IP == h.host.Settings().IpAddress {
-					say, x.err = h.handleConsensus(m)
-				} else {
-					x.err = h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathConsensus, m, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.3))
-				}
-				if x.err == nil {
-					x.say, x.err = h.unpackResponse(base, say)
-				}
-				in <- x
-			}()
-		}
-		for left := len(base.Voters); left > 0 && p.Stage == stage; left-- {
-			if x := <-in; x.err != nil {
-				p.OnFailure()
-			} else {
-				p.OnResponse(stage, x.say)
-			}
-		}
-		if p.Stage == stage {
-			p.Stage = consensus.StageAborted
+			unpacked, err := r.unpackResponse(base, response)
+			responses <- voterResponse{unpacked, err}
+		}()
+	}
+	for pending := len(base.Voters); pending > 0 && proposer.Stage == stage; pending-- {
+		if answer := <-responses; answer.err != nil {
+			proposer.OnFailure()
+		} else {
+			proposer.OnResponse(stage, answer.response)
 		}
 	}
-	switch p.Stage {
+	if proposer.Stage == stage {
+		proposer.Abort()
+	}
+}
+
+// packRequest makes a proposer's request ready for the wire.
+func packRequest(base consensus.State, request consensus.Request) nodeapi.ConsensusRequest {
+	packed := nodeapi.ConsensusRequest{Request: request}
+	if value := request.Value; value != nil && value.Body != "" {
+		packed.PackedBody = mustCompress(base.Body, value.Body)
+		packed.Value = nodeapi.WithoutBody(value, packed.PackedBody)
+	}
+	return packed
+}
+
+// callVoter sends a request to a voter, which may be this node.
+func (r *replica) callVoter(voter consensus.Voter, request nodeapi.ConsensusRequest) (response nodeapi.ConsensusResponse, err error) {
+	settings := r.host.Settings()
+	if voter.IP == settings.IpAddress {
+		return r.handleConsensus(request)
+	}
+	err = r.host.Client.CallJSON(settings.InternalAddress(voter.IP), nodeapi.PathConsensus, request, &response, r.acknowledgeTime(ballotCallRatio))
+	return response, err
+}
+
+// endBallot takes the outcome of a ballot, and reports whether this node's
+// state is a later one than the ballot's base.
+func (r *replica) endBallot(proposer *consensus.Proposer) bool {
+	switch proposer.Stage {
 	case consensus.StageChosen:
-		s := base.Apply(p.Value)
-		h.loop.Call(func() { h.learn(s, "proposed") })
-		h.disseminate(b, s)
+		chosen := proposer.Base.Apply(proposer.Value)
+		r.loop.Call(func() { r.learn(chosen, "proposed") })
+		r.owner.disseminate(proposer.Ballot, chosen)
 		return true
 	case consensus.StageBehind:
-		h.loop.Call(func() { h.learn(*p.NewerState, "told") })
+		r.loop.Call(func() { r.learn(*proposer.NewerState, "told") })
 		return true
 	}
-	h.loop.Call(func() { h.highestRound = max(h.highestRound, p.HighestPromised.Round) })
-	events.Log(events.ProposalPreempted, "slot", base.Slot+1, "ballot", b.Round)
+	r.loop.Call(func() { r.highestRound = max(r.highestRound, proposer.HighestPromised.Round) })
+	events.Log(events.ProposalPreempted, "slot", proposer.Base.Slot+1, "ballot", proposer.Ballot.Round)
 	return false
 }
 
-// finishAcceptedLoop brings to an end what this voter accepted and hears no more of:
-// its proposer may be gone, and until the slot is decided a change of voters
-// may be in force that nobody knows, or still come into force late.
-func (h *Server) finishAcceptedLoop() {
-	var seen consensus.Ballot
+// finishAcceptedLoop runs a ballot for the open slot where this voter accepted a
+// value and hears no more of it. The proposer may be gone; and until the slot is
+// decided, a change of voters may be in force that no node knows of, or may
+// still come into force late.
+func (r *replica) finishAcceptedLoop() {
+	var before consensus.Ballot
 	for {
+		interval := float64(r.host.Heartbeats(finishAcceptedHeartbeats)) * (0.75 + rand.Float64()/2)
 		select {
-		case <-h.host.Stopping:
+		case <-r.host.Stopping:
 			return
-		case <-time.After(time.Duration(float64(h.host.Heartbeats(0.4)) * (0.75 + rand.Float64()/2))):
-		}
-		var s consensus.State
-		var now consensus.Ballot
-		h.loop.Call(func() { s, now = h.acceptor.State, h.acceptor.AcceptedBallot })
-		if now != (consensus.Ballot{}) && now == seen && !h.isolated() && h.proposalLock.TryLock() {
-			done := h.propose(s, nil)
-			h.proposalLock.Unlock()
-			events.Log(events.SlotRecovered, "slot", s.Slot+1, "done", done)
-		}
-		seen = now
-	}
-}
-
-// disseminate spreads a decided slot to the other huts.
-func (h *Server) disseminate(b consensus.Ballot, s consensus.State) {
-	var to []string
-	h.loop.Call(func() { to = h.peerIPs() })
-	for _, ip := range to {
-		go func() {
-			var say nodeapi.LearnResponse
-			addr := h.host.Settings().InternalAddress(ip)
-			err := h.host.Client.CallJSON(addr, nodeapi.PathLearn, nodeapi.LearnRequest{Slot: s.Slot, Ballot: b}, &say, h.host.Heartbeats(1))
-			if err == nil && say.DurableSlot < s.Slot {
-				say.DurableSlot = h.sendState(ip, say.DurableSlot, h.host.Heartbeats(1))
-			}
-			if err == nil && say.DurableSlot >= 0 {
-				h.loop.Submit(func() { h.peers.handoff.OnAcknowledged(ip, say.DurableSlot) })
-			}
-			if err != nil || say.DurableSlot < s.Slot {
-				h.resendState(ip, s)
-			}
-		}()
-	}
-}
-
-// maxReadQuorumAge, a part of AcknowledgeMs, bounds how long ago the majority that a
-// read rests on was asked.
-const maxReadQuorumAge = 0.25
-
-// readQuorum gives the newest decided state: a majority of the voters knows of no
-// later slot and has begun none. What was begun is finished first.
-func (h *Server) readQuorum(within time.Duration) (consensus.State, bool) {
-	until := time.Now().Add(within)
-	for try := 0; ; try++ {
-		began := h.host.Now()
-		s := h.State()
-		if h.isolated() {
-			return s, false
+		case <-time.After(time.Duration(interval)):
 		}
-		in := make(chan *nodeapi.PeekResponse, len(s.Voters))
-		for _, v := range s.Voters {
-			go func() {
-				var say nodeapi.PeekResponse
-				if v.IP == h.host.Settings().IpAddress {
-					h.loop.Call(func() { say = h.peek() })
-				} else if h.host.Client.CallJSON(h.host.Settings().InternalAddress(v.IP), nodeapi.PathPeek, struct{}{}, &say, config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, 0.2)) != nil {
-					in <- nil
-					return
-				}
-				in <- &say
-			}()
+		var state consensus.State
+		var accepted consensus.Ballot
+		r.loop.Call(func() { state, accepted = r.acceptor.State, r.acceptor.AcceptedBallot })
+		stalled := !accepted.IsZero() && accepted == before
+		before = accepted
+		if stalled && !r.owner.isolated() && r.proposalLock.TryLock() {
+			done := r.propose(state, nil)
+			r.proposalLock.Unlock()
+			events.Log(events.SlotRecovered, "slot", state.Slot+1, "done", done)
 		}
-		known, begun, ahead := 0, false, false
-		for left := len(s.Voters); left > 0 && known < len(s.Voters)/2+1; left-- {
-			say := <-in
-			if say == nil || !s.IsVoter(say.AcceptorID) {
-				continue
-			}
-			known++
-			begun = begun || say.HasAccepted && say.DecidedSlot == s.Slot
-			ahead = ahead || say.DecidedSlot > s.Slot
-		}
-		if known >= len(s.Voters)/2+1 && known > 0 {
-			// Whatever froze this node since it asked, the answer rests on a
-			// majority's word that is no older than this.
-			if !begun && !ahead && h.host.Now()-began < config.Milliseconds(h.host.Settings().Bounds.AcknowledgeMs, maxReadQuorumAge) {
-				return s, true
-			}
-			h.propose(s, nil)
-		}
-		if time.Now().After(until) {
-			return s, false
-		}
-		h.backOff(try)
 	}
 }
-
-// peek tells what this voter knows of the open slot; it runs on the loop.
-func (h *Server) peek() nodeapi.PeekResponse {
-	return nodeapi.PeekResponse{AcceptorID: h.acceptor.ID, DecidedSlot: h.acceptor.State.Slot, HasAccepted: h.acceptor.AcceptedValue != nil}
-}
