--- a/internal/control/data_loss_test.go
+++ b/internal/control/data_loss_test.go
@@ -12,7 +12,7 @@
 	}
 	// Hut 1 loses its disk right after it acknowledged.
 	w.Kill("1")
-	w.DataDirs["hut-1"] = t.TempDir()
+	w.ReplaceDisk(1)
 	w.StartNode(1, false, 2, 3)
 	w.Eventually("the empty hut votes under a new identity", func() bool {
 		s := w.Nodes["2"].Control().State()
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -50,7 +50,7 @@
 		}
 		// The files as a kill would leave them.
 		after := t.TempDir()
-		if err := os.CopyFS(after, os.DirFS(w.DataDirs["hut-1"])); err != nil {
+		if err := os.CopyFS(after, os.DirFS(w.DataDir(1))); err != nil {
 			t.Fatal(err)
 		}
 		h.Store().Close(time.Second)
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -1,241 +1,165 @@
 package node
 
 import (
+	"net/http"
 	"slices"
 	"strconv"
-	"swiftswitch/internal/nodeapi"
 	"time"
 
 	"swiftswitch/internal/config"
-	"swiftswitch/internal/events"
+	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/transport"
 
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// An operator goes on to another node when one keeps silent, and may have sent
-// other orders when the first answers at last. So each call is settled within
-// its caller's patience, or not at all.
-
-// Of AcknowledgeMs: how long a caller waits for an answer, what each 64 KiB of
-// a body add to that, and the most that it can be.
-const (
-	callerTimeoutRatio    = 0.2
-	callerTimeoutPerBody  = 0.1
-	maxCallerTimeoutRatio = 0.8
-)
-
-// changeTimeoutFactor is how many times its caller's patience a change of the
-// configuration may be under way.
-const changeTimeoutFactor = 2
-
-// Of the patience: after this a call that was passed on and is not answered
-// goes to another node too, and who stood still for so long may hold old orders.
 const (
+	// hedgeRatio, of the caller's time-out, is after how long without an answer
+	// a forwarded call goes to a further node.
 	hedgeRatio = 0.25
-	pauseRatio = 0.25
+	// minTimeLeft is the least time for which a call is forwarded.
+	minTimeLeft = time.Millisecond
 )
 
-// callerTimeout is how long the caller of a call with a body of that size waits.
-func callerTimeout(acknowledgeMs float64, size int) time.Duration {
-	return config.Milliseconds(acknowledgeMs, min(maxCallerTimeoutRatio, callerTimeoutRatio+callerTimeoutPerBody*float64(size)/(64<<10)))
+// forwardedHeaders are the response headers that the caller is given.
+var forwardedHeaders = []string{"Etag", "Retry-After"}
+
+// forwarding is one operator's call on its way to a node that may settle it.
+// It is used by the goroutine of the call alone.
+type forwarding struct {
+	node     *Node
+	method   string
+	path     string
+	ifMatch  string
+	body     []byte
+	deadline time.Time
+	// candidates are the nodes not asked yet, the best first; last is the one
+	// asked last.
+	candidates []string
+	last       string
+	// pending is the number of attempts whose outcome was not read from
+	// outcomes yet. An outcome is nil if the node did not settle the call.
+	// outcomes has room for all, so that no attempt waits for its reader.
+	pending  int
+	outcomes chan *transport.Response
 }
 
-// timeLeft is what is left of a caller's patience when its call arrives:
-// told is what the node that passed it on says, empty if it came directly.
-func timeLeft(own time.Duration, told string) time.Duration {
-	if told == "" {
-		return own
-	}
-	ms, err := strconv.ParseInt(told, 10, 64)
-	if err != nil || ms < 0 {
-		return 0
+// forward sends an operator's call to a node that may settle it: to the best
+// candidate first, and to further ones while there is no answer or it was a
+// failure. All that happens before the deadline. A call that was forwarded
+// already is not forwarded again.
+func (n *Node) forward(c *app.RequestContext, path string, deadline time.Time) {
+	if len(c.Request.Header.Peek(nodeapi.HeaderForwardedBy)) > 0 {
+		n.WriteUnavailable(c, "this node has no state yet")
+		return
 	}
-	if ms > own.Milliseconds() {
-		return own
+	candidates := n.forwardCandidates()
+	f := &forwarding{
+		node:    n,
+		method:  string(c.Request.Header.Method()),
+		path:    path,
+		ifMatch: string(c.Request.Header.Peek("If-Match")),
+		// An attempt may outlive this call, whose buffers are reused.
+		body:       slices.Clone(c.Request.Body()),
+		deadline:   deadline,
+		candidates: candidates,
+		outcomes:   make(chan *transport.Response, len(candidates)),
 	}
-	return time.Duration(ms) * time.Millisecond
-}
-
-// callerDeadline is when the caller of a call that has just been read goes on.
-func (n *Node) callerDeadline(c *app.RequestContext) time.Time {
-	own := callerTimeout(n.Settings().Bounds.AcknowledgeMs, len(c.Request.Body()))
-	if m := string(c.Request.Header.Method()); m == "PUT" || m == "PATCH" {
-		// A change that comes late is known by its base: sent again, it is found settled.
-		own *= changeTimeoutFactor
+	response := f.run()
+	if response == nil {
+		n.WriteUnavailable(c, "no node that keeps state could settle it in time")
+		return
 	}
-	return time.Now().Add(timeLeft(own, string(c.Request.Header.Peek(nodeapi.HeaderTimeLeft))))
-}
-
-// pauseDetector notices that the node stood still (it was frozen, or got no processor
-// time): what it reads soon after may have waited in its sockets for as long.
-type pauseDetector struct {
-	// Threshold is the longest time between two looks of a node that runs.
-	Threshold time.Duration
-	// lastCheck is the last look; woke is when it last stood still until, if it did.
-	lastCheck, resumedAt time.Duration
-	checked, paused      bool
-}
-
-// Check is called often; it returns how long the node stood still, if it did.
-func (v *pauseDetector) Check(now time.Duration) time.Duration {
-	still, first := now-v.lastCheck, !v.checked
-	v.lastCheck, v.checked = now, true
-	if first || still <= v.Threshold {
-		return 0
+	for _, name := range forwardedHeaders {
+		if value := response.Header(name); value != "" {
+			c.Response.Header.Set(name, value)
+		}
 	}
-	v.resumedAt, v.paused = now, true
-	return still
+	c.SetStatusCode(response.Status)
+	c.Response.Header.SetContentType("application/json")
+	c.Response.SetBodyRaw(response.Body)
 }
 
-// RecentlyPaused tells whether a call read now may have waited while the node stood still.
-func (v *pauseDetector) RecentlyPaused(now time.Duration) bool {
-	return v.paused && now-v.resumedAt < v.Threshold
+// forwardCandidates lists the other nodes that may be control nodes, those that
+// failed to answer lately last.
+func (n *Node) forwardCandidates() []string {
+	settings := n.Settings()
+	ips := slices.DeleteFunc(n.ControlIPs(), func(ip string) bool { return ip == settings.IpAddress })
+	window := config.Milliseconds(settings.Bounds.InTouchMs, 1)
+	n.ViewLoop.Call(func() { ips = n.unresponsive.sortLast(ips, n.Now(), window) })
+	return ips
 }
 
-// unresponsivePeers knows which nodes did not answer lately, and when.
-type unresponsivePeers map[string]time.Duration
-
-// Record takes whether a node answered.
-func (u unresponsivePeers) Record(ip string, answered bool, now time.Duration) {
-	if answered {
-		delete(u, ip)
-	} else {
-		u[ip] = now
-	}
-}
-
-// SortLast gives the nodes with those that did not answer within the window put last.
-func (u unresponsivePeers) SortLast(ips []string, now, window time.Duration) []string {
-	for ip, at := range u {
-		if now-at >= window {
-			delete(u, ip)
-		}
-	}
-	out := slices.Clone(ips)
-	slices.SortStableFunc(out, func(a, b string) int {
-		_, x := u[a]
-		_, y := u[b]
-		switch {
-		case x == y:
-			return 0
-		case y:
-			return -1
-		}
-		return 1
-	})
-	return out
+// recordAnswer notes whether a node answered a forwarded call.
+func (n *Node) recordAnswer(ip string, answered bool) {
+	n.ViewLoop.Submit(func() { n.unresponsive.record(ip, answered, n.Now()) })
 }
 
-// checkPause keeps the vigil; it runs on the view's desk.
-func (n *Node) checkPause() {
-	if still := n.pauses.Check(n.Now()); still > 0 {
-		events.Log(events.ProcessPaused, "for", still)
-	}
-}
-
-// pauseLoop looks several times within the gap.
-func (n *Node) pauseLoop() {
-	for {
+// run returns the first answer that settles the call, or nil.
+func (f *forwarding) run() *transport.Response {
+	end := time.NewTimer(time.Until(f.deadline))
+	defer end.Stop()
+	hedge := time.NewTicker(f.hedgeInterval())
+	defer hedge.Stop()
+	f.tryNext()
+	for f.pending > 0 {
 		select {
-		case <-n.Stopping:
-			return
-		case <-time.After(n.pauses.Threshold / 4):
-			n.ViewLoop.Call(n.checkPause)
+		case response := <-f.outcomes:
+			f.pending--
+			if response == nil {
+				f.tryNext()
+				continue
+			}
+			if f.method == "GET" && time.Now().After(f.deadline) {
+				// What was read may be out of date by now. A change that was
+				// acknowledged stays so.
+				return nil
+			}
+			return response
+		case <-hedge.C:
+			f.node.recordAnswer(f.last, false)
+			f.tryNext()
+		case <-end.C:
+			return nil
+		case <-f.node.Stopping:
+			return nil
 		}
 	}
+	return nil
 }
 
-// recentlyPaused tells whether a call that has just been read may be an old one.
-func (n *Node) recentlyPaused() (yes bool) {
-	n.ViewLoop.Call(func() {
-		n.checkPause()
-		yes = n.pauses.RecentlyPaused(n.Now())
-	})
-	return yes
+func (f *forwarding) hedgeInterval() time.Duration {
+	timeout := callerTimeout(f.node.Settings().Bounds.AcknowledgeMs, len(f.body))
+	return max(time.Duration(float64(timeout)*hedgeRatio), minTimeLeft)
 }
 
-// forward sends a control call on to a node that may settle it, once: to the
-// best known first, to another one too while there is no answer. All that
-// happens within the caller's patience.
-func (n *Node) forward(c *app.RequestContext, path string, until time.Time) {
-	if len(c.Request.Header.Peek(nodeapi.HeaderForwardedBy)) > 0 {
-		n.WriteUnavailable(c, "this node has no state yet")
+// tryNext starts an attempt at the next candidate, if there is one and time.
+func (f *forwarding) tryNext() {
+	timeLeft := time.Until(f.deadline)
+	if len(f.candidates) == 0 || timeLeft < minTimeLeft {
 		return
 	}
-	method, match := string(c.Request.Header.Method()), string(c.Request.Header.Peek("If-Match"))
-	// A call under way may outlive this one, whose bytes are used again.
-	body := slices.Clone(c.Request.Body())
-	ips := slices.DeleteFunc(n.ControlIPs(), func(ip string) bool { return ip == n.Settings().IpAddress })
-	n.ViewLoop.Call(func() {
-		ips = n.unresponsive.SortLast(ips, n.Now(), config.Milliseconds(n.Settings().Bounds.InTouchMs, 1))
-	})
-	note := func(ip string, answered bool) {
-		n.ViewLoop.Submit(func() { n.unresponsive.Record(ip, answered, n.Now()) })
+	f.last, f.candidates = f.candidates[0], f.candidates[1:]
+	f.pending++
+	header := map[string]string{
+		nodeapi.HeaderForwardedBy: f.node.Settings().NodeName,
+		nodeapi.HeaderTimeLeft:    strconv.FormatInt(timeLeft.Milliseconds(), 10),
 	}
-	in := make(chan *transport.Response, len(ips))
-	waits, last := 0, ""
-	ask := func() {
-		left := time.Until(until)
-		if len(ips) == 0 || left < time.Millisecond {
-			return
-		}
-		ip := ips[0]
-		ips = ips[1:]
-		last = ip
-		waits++
-		hd := map[string]string{nodeapi.HeaderForwardedBy: n.Settings().NodeName, nodeapi.HeaderTimeLeft: strconv.FormatInt(left.Milliseconds(), 10)}
-		if match != "" {
-			hd["If-Match"] = match
-		}
-		go func() {
-			rep, err := n.Client.Do(n.Settings().InternalAddress(ip), method, path, hd, body, left)
-			settled := err == nil && rep.Status < 500
-			note(ip, settled)
-			if !settled {
-				in <- nil
-				return
-			}
-			in <- &rep
-		}()
+	if f.ifMatch != "" {
+		header["If-Match"] = f.ifMatch
 	}
-	hedge := time.Duration(float64(callerTimeout(n.Settings().Bounds.AcknowledgeMs, len(body))) * hedgeRatio)
-	end := time.NewTimer(time.Until(until))
-	defer end.Stop()
-	another := time.NewTicker(max(hedge, time.Millisecond))
-	defer another.Stop()
-	over := false
-	for ask(); waits > 0 && !over; {
-		select {
-		case rep := <-in:
-			waits--
-			if rep == nil {
-				ask()
-				continue
-			}
-			// What was read may be old by now; what was acknowledged stays so.
-			if method == "GET" && time.Now().After(until) {
-				over = true
-				continue
-			}
-			// A 404 too is an answer: it is given after a majority was asked.
-			for _, name := range []string{"Etag", "Retry-After"} {
-				if v := rep.Header(name); v != "" {
-					c.Response.Header.Set(name, v)
-				}
-			}
-			c.SetStatusCode(rep.Status)
-			c.Response.Header.SetContentType("application/json")
-			c.Response.SetBodyRaw(rep.Body)
-			return
-		case <-another.C:
-			note(last, false)
-			ask()
-		case <-end.C:
-			over = true
-		case <-n.Stopping:
-			over = true
-		}
+	go f.attempt(f.last, header, timeLeft)
+}
+
+// attempt sends the call to one node. Every answer that is not a server error
+// settles it, also a 404: it is given after a majority was asked.
+func (f *forwarding) attempt(ip string, header map[string]string, timeout time.Duration) {
+	response, err := f.node.Client.Do(f.node.Settings().InternalAddress(ip), f.method, f.path, header, f.body, timeout)
+	settled := err == nil && response.Status < http.StatusInternalServerError
+	f.node.recordAnswer(ip, settled)
+	if !settled {
+		f.outcomes <- nil
+		return
 	}
-	n.WriteUnavailable(c, "no node that keeps state could settle it in time")
+	f.outcomes <- &response
 }
--- a/internal/node/forward_cluster_test.go
+++ b/internal/node/forward_cluster_test.go
@@ -3,106 +3,111 @@
 import (
 	"net/http"
 	"strconv"
+	"sync/atomic"
+	"testing"
+	"time"
+
 	"swiftswitch/internal/host"
 	"swiftswitch/internal/node"
 	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/testcluster"
-	"sync/atomic"
-	"testing"
-	"time"
 )
 
-// gateway is a front that only takes calls, and knows of huts 9 and 8.
-func gateway(w *testcluster.Cluster) *node.Node {
-	n, err := node.Open(w.Settings(11, false, 9, 8), "", host.DefaultOptions())
+// startForwardingFront starts front 11 with the listener for other nodes alone.
+// It knows of control nodes 9 and 8.
+func startForwardingFront(t *testing.T, c *testcluster.Cluster) *node.Node {
+	t.Helper()
+	n, err := node.Open(c.Settings(11, false, 9, 8), "", host.DefaultOptions())
 	if err != nil {
-		w.T.Fatal(err)
+		t.Fatal(err)
 	}
-	if !n.Listen() {
-		w.T.Fatal("it does not listen")
+	if err := n.Listen(); err != nil {
+		t.Fatal(err)
 	}
-	w.Nodes["11"] = n
+	c.Nodes["11"] = n
 	go n.PauseLoop()
 	return n
 }
 
-func TestPassedOnPastANodeThatHangs(t *testing.T) {
-	w := testcluster.New(t)
-	n := gateway(w)
-	hold := make(chan struct{})
+func TestForwardHedgesANodeThatHangs(t *testing.T) {
+	c := testcluster.New(t)
+	n := startForwardingFront(t, c)
+	release := make(chan struct{})
 	var hung, settled atomic.Int32
-	var left atomic.Value
-	w.ServeFakeNode(9, func(http.ResponseWriter, *http.Request) { hung.Add(1); <-hold })
-	w.ServeFakeNode(8, func(rw http.ResponseWriter, r *http.Request) {
+	var timeLeft atomic.Value
+	c.ServeFakeNode(9, func(http.ResponseWriter, *http.Request) { hung.Add(1); <-release })
+	c.ServeFakeNode(8, func(w http.ResponseWriter, r *http.Request) {
 		settled.Add(1)
-		left.Store(r.Header.Get(nodeapi.HeaderTimeLeft))
-		rw.Header().Set("ETag", "7")
-		rw.Header().Set("Retry-After", "0.25")
-		rw.WriteHeader(412)
+		timeLeft.Store(r.Header.Get(nodeapi.HeaderTimeLeft))
+		w.Header().Set("ETag", "7")
+		w.Header().Set("Retry-After", "0.25")
+		w.WriteHeader(412)
 	})
-	defer close(hold)
-	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutBody))
-	at := time.Now()
-	status, h := w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
-	if took := time.Since(at); status != 412 || took > own {
-		t.Fatalf("the second node's answer: %d after %v of %v", status, took, own)
+	defer close(release)
+	timeout := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutBody))
+	begun := time.Now()
+	status, header := c.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
+	if took := time.Since(begun); status != 412 || took > timeout {
+		t.Fatalf("the second node's answer: %d after %v of %v", status, took, timeout)
 	}
-	if h.Get("ETag") != "7" || h.Get("Retry-After") != "0.25" {
-		t.Errorf("headers of the answer are lost: %v", h)
+	if header.Get("ETag") != "7" || header.Get("Retry-After") != "0.25" {
+		t.Errorf("headers of the answer are lost: %v", header)
 	}
-	if ms, err := strconv.Atoi(left.Load().(string)); err != nil || ms <= 0 || ms > int(own.Milliseconds()*8/10) {
-		t.Errorf("it was told that %q ms of %v are left", left.Load(), own)
+	// What is left of the caller's time-out counts from the first node on.
+	if ms, err := strconv.Atoi(timeLeft.Load().(string)); err != nil || ms <= 0 || ms > int(timeout.Milliseconds()*8/10) {
+		t.Errorf("forwarded with %q ms of %v left", timeLeft.Load(), timeout)
 	}
 	// The one that hangs is asked last from now on.
-	if status, _ := w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
+	if status, _ := c.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil); status != 412 || hung.Load() != 1 || settled.Load() != 2 {
 		t.Errorf("%d; the one that hangs was asked %d times, the other %d", status, hung.Load(), settled.Load())
 	}
-	// What is left of the patience counts from the first node on.
-	if status, _ = w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, map[string]string{nodeapi.HeaderForwardedBy: "x"}); status != 503 {
-		t.Errorf("passed on twice: %d", status)
+	if status, _ = c.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, map[string]string{nodeapi.HeaderForwardedBy: "x"}); status != 503 {
+		t.Errorf("forwarded twice: %d", status)
 	}
 }
 
-func TestPassedOnWithinThePatience(t *testing.T) {
-	w := testcluster.New(t)
-	n := gateway(w)
-	hold := make(chan struct{})
-	defer close(hold)
-	for _, n := range []int{8, 9} {
-		w.ServeFakeNode(n, func(http.ResponseWriter, *http.Request) { <-hold })
+func TestForwardEndsWithTheCallersTimeout(t *testing.T) {
+	c := testcluster.New(t)
+	n := startForwardingFront(t, c)
+	release := make(chan struct{})
+	defer close(release)
+	for _, number := range []int{8, 9} {
+		c.ServeFakeNode(number, func(http.ResponseWriter, *http.Request) { <-release })
 	}
-	own := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutBody))
-	at := time.Now()
-	status, h := w.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
-	if took := time.Since(at); status != 503 || took > own+own/2 {
-		t.Errorf("nobody answers: %d after %v, the patience is %v", status, took, own)
+	timeout := node.CallerTimeout(n.Settings().Bounds.AcknowledgeMs, len(testcluster.RolloutBody))
+	begun := time.Now()
+	status, header := c.PostOperator(11, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
+	if took := time.Since(begun); status != 503 || took > timeout+timeout/2 {
+		t.Errorf("nobody answers: %d after %v, the caller's time-out is %v", status, took, timeout)
 	}
-	testcluster.CheckRetryAfter(t, h)
+	testcluster.CheckRetryAfter(t, header)
 }
 
-func TestOrderThatWaitedInAFrozenNode(t *testing.T) {
-	w, h := testcluster.StartSingleControlNode(t)
-	gap := w.Nodes["1"].PauseThreshold()
-	frozen := make(chan struct{})
-	go w.Nodes["1"].ViewLoop.Call(func() { close(frozen); time.Sleep(3 * gap) })
-	<-frozen
+func TestPausedNodeRejectsOrders(t *testing.T) {
+	c, control := testcluster.StartSingleControlNode(t)
+	n := c.Nodes["1"]
+	threshold := n.PauseThreshold()
+	paused := make(chan struct{})
+	go n.ViewLoop.Call(func() { close(paused); time.Sleep(3 * threshold) })
+	<-paused
 	for path, body := range map[string]string{nodeapi.PathRollouts: testcluster.RolloutBody, nodeapi.PathPurge: `{"Tag":"x"}`} {
-		status, head := w.PostOperator(1, path, body, nil)
+		status, header := c.PostOperator(1, path, body, nil)
 		if status != 503 {
 			t.Errorf("%s: an order that may be an old one: %d", path, status)
 		}
-		testcluster.CheckRetryAfter(t, head)
+		testcluster.CheckRetryAfter(t, header)
 	}
-	if s := h.State(); len(s.Rollouts) > 0 || s.PurgeSeq > 0 {
-		t.Fatalf("it started something: %+v", s.Rollouts)
+	if state := control.State(); len(state.Rollouts) > 0 || state.PurgeSeq > 0 {
+		t.Fatalf("it started something: %+v", state.Rollouts)
 	}
-	// A change bears its lateness, and later orders are taken.
-	w.Eventually("orders are taken again", func() bool {
-		status, _ := w.PostOperator(1, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
+	c.Eventually("orders are taken again", func() bool {
+		status, _ := c.PostOperator(1, nodeapi.PathRollouts, testcluster.RolloutBody, nil)
 		return status == 200
 	})
-	go w.Nodes["1"].ViewLoop.Call(func() { time.Sleep(2 * gap) })
-	if status, body := w.PutConfiguration(1, "PUT", "3", testcluster.ConfigurationBody(5, "s1")); status != 200 {
-		t.Errorf("a change after a freeze: %d %s", status, body)
+	// A change of the configuration is taken after a pause too: a late one would
+	// be rejected because of its base version.
+	go n.ViewLoop.Call(func() { time.Sleep(2 * threshold) })
+	if status, body := c.PutConfiguration(1, "PUT", "3", testcluster.ConfigurationBody(5, "s1")); status != 200 {
+		t.Errorf("a change after a pause: %d %s", status, body)
 	}
 }
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -3,8 +3,6 @@
 import (
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
 	"syscall"
 	"time"
 
@@ -12,71 +10,59 @@
 	"swiftswitch/internal/events"
 )
 
-// tuneRuntime fits the runtime to the machine.
-func tuneRuntime(s *config.Settings) {
-	runtime.GOMAXPROCS(1)
-	if mb := s.Limits.MemoryMb; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.6 * (1 << 20)))
-	}
-	debug.SetGCPercent(150)
-}
+// maxPendingSignals is how many signals may wait to be handled.
+const maxPendingSignals = 4
 
-// handleSignals waits for the end, and for changed settings on the way.
+// handleSignals drains the node on SIGTERM or SIGINT, and returns then. Before
+// that it reloads the settings on SIGHUP and whenever the file has changed,
+// which it looks for every heartbeat interval.
 func (n *Node) handleSignals() {
-	sig := make(chan os.Signal, 4)
-	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	signals := make(chan os.Signal, maxPendingSignals)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	// A write to a closed connection raises it.
 	signal.Ignore(syscall.SIGPIPE)
-	seen := modificationTime(n.settingsPath)
+	loadedAt := modificationTime(n.settingsPath)
 	for {
 		select {
-		case s := <-sig:
-			if s == syscall.SIGHUP {
-				seen = modificationTime(n.settingsPath)
-				n.Reload()
-				continue
+		case received := <-signals:
+			if received != syscall.SIGHUP {
+				n.Drain()
+				return
 			}
-			n.Drain()
-			return
+			loadedAt = modificationTime(n.settingsPath)
+			n.Reload()
 		case <-time.After(n.Heartbeats(1)):
-			if t := modificationTime(n.settingsPath); !t.Equal(seen) {
-				seen = t
+			if modified := modificationTime(n.settingsPath); !modified.Equal(loadedAt) {
+				loadedAt = modified
 				n.Reload()
 			}
 		}
 	}
 }
 
-// Reload takes a changed settings file, or keeps the old settings.
+// modificationTime returns the zero time for a file that can't be read.
+func modificationTime(path string) time.Time {
+	info, err := os.Stat(path)
+	if err != nil {
+		return time.Time{}
+	}
+	return info.ModTime()
+}
+
+// Reload puts a changed settings file in force. Settings that are invalid, or
+// that change what can't change while the node runs, are logged and rejected.
 func (n *Node) Reload() {
-	s, err := config.LoadSettings(n.settingsPath)
-	old := n.Settings()
-	switch {
-	case err != nil:
+	settings, err := config.LoadSettings(n.settingsPath)
+	if err != nil {
 		events.Log(events.SettingsReloadRejected, "err", err)
 		return
-	case s.IpAddress != old.IpAddress || s.InternalPort() != old.InternalPort() || s.HasDisk() != old.HasDisk():
+	}
+	old := n.Settings()
+	if settings.IpAddress != old.IpAddress || settings.InternalPort() != old.InternalPort() || settings.HasDisk() != old.HasDisk() {
 		events.Log(events.SettingsReloadRejected, "err", "IpAddress, InternalPortRange and DataDirectory can't change while the node runs")
 		return
 	}
-	s.DataDirectory = old.DataDirectory
-	n.SetSettings(s)
+	settings.DataDirectory = old.DataDirectory
+	n.SetSettings(settings)
 	events.Log(events.SettingsReloaded)
 }
-
-// Drain leaves in order, inside GraceS.
-func (n *Node) Drain() {
-	start := time.Now()
-	grace := config.Seconds(n.Settings().Bounds.GraceS, 1)
-	events.Log(events.Draining, "grace", grace)
-	n.Draining.Store(true)
-	if n.front != nil {
-		n.front.Drain(start, grace)
-	}
-	if n.control != nil {
-		n.control.Drain(start, grace)
-	}
-	close(n.Stopping)
-	for _, ln := range n.listeners {
-		ln.Close()
-	}
-}
