--- a/internal/testcluster/traffic.go
+++ b/internal/testcluster/traffic.go
@@ -55,7 +55,7 @@
 
 // IsFrontReady reports whether front n says that it is ready.
 func (c *Cluster) IsFrontReady(n int) bool {
-	response, err := http.Get("http://" + c.address(n, readinessPort) + "/-/ready")
+	response, err := http.Get(fmt.Sprintf("http://%s/-/ready", c.address(n, readinessPort)))
 	if err != nil {
 		return false
 	}
