--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,4 +1,4 @@
-// Package fork finds the route of a request by host and longest path prefix,
-// and picks a service where a route splits its traffic. In the field's
-// terms: request routing and weighted traffic splitting.
+// Package routing compiles a validated configuration into an immutable table:
+// it routes a request by its host and the longest path prefix, and picks the
+// service of a route that splits its traffic by weight.
 package routing
