--- a/internal/control/data_loss_test.go
+++ b/internal/control/data_loss_test.go
@@ -1,38 +1,41 @@
 package control_test
 
 import (
-	"swiftswitch/internal/testcluster"
 	"testing"
+
+	"swiftswitch/internal/testcluster"
 )
 
-func TestLostDiskAndReplacedHut(t *testing.T) {
+// Disks are lost and a node is replaced, one after the other: nothing that was
+// acknowledged is lost, and a minority acknowledges nothing.
+func TestLostDiskAndReplacedNode(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	if st, _ := w.PutConfiguration(1, "PUT", "3", testcluster.ConfigurationBody(4, "s1", "s2")); st != 200 {
 		t.Fatal(st)
 	}
-	// Hut 1 loses its disk right after it acknowledged.
+	// Node 1 loses its disk right after it acknowledged.
 	w.Kill("1")
 	w.ReplaceDisk(1)
 	w.StartNode(1, false, 2, 3)
-	w.Eventually("the empty hut votes under a new identity", func() bool {
+	w.Eventually("the empty node votes under a new identity", func() bool {
 		s := w.Nodes["2"].Control().State()
 		return s.IsVoter(w.Nodes["1"].Control().ID()) && len(s.Voters) == 3
 	})
 	if st, body := w.PutConfiguration(1, "GET", "", ""); st != 200 || body != testcluster.ConfigurationBody(4, "s1", "s2") {
 		t.Fatalf("after a lost disk: %d %q", st, body)
 	}
-	// Hut 3 goes for good; an empty one comes at another address.
+	// Node 3 is lost for good; an empty one comes at another address.
 	w.Kill("3")
 	w.StartNode(4, false, 1, 2)
-	w.Eventually("the new hut has the place of the one that is gone", func() bool {
+	w.Eventually("the new node votes in place of the lost one", func() bool {
 		s := w.Nodes["1"].Control().State()
 		return s.IsVoter(w.Nodes["4"].Control().ID()) && len(s.Voters) == 3
 	})
-	w.Eventually("changes go on", func() bool {
+	w.Eventually("changes are acknowledged again", func() bool {
 		st, _ := w.PutConfiguration(4, "PUT", "4", testcluster.ConfigurationBody(5, "s1", "s2"))
 		return st == 200
 	})
-	// A minority acknowledges nothing and does not pretend to know.
+	// A minority acknowledges nothing and answers no read.
 	w.Kill("1")
 	w.Kill("2")
 	if st, _ := w.PutConfiguration(4, "PUT", "5", testcluster.ConfigurationBody(6, "s1", "s2")); st == 200 {
--- a/internal/control/lease_test.go
+++ b/internal/control/lease_controller_test.go
@@ -1,27 +1,28 @@
 package control_test
 
 import (
-	"swiftswitch/internal/control"
-	"swiftswitch/internal/testcluster"
 	"testing"
 	"time"
+
+	"swiftswitch/internal/control"
+	"swiftswitch/internal/testcluster"
 )
 
-// A poller that is cut off from the core, but not from the platform, raises no
-// epoch; the majority goes on, what it saw drain stays so, and the healed one
-// follows.
-func TestPollerCutOff(t *testing.T) {
+// The lease holder is partitioned from the other control nodes, but not from the
+// platform: it raises no epoch. The majority goes on, what it saw drain stays
+// so, and the holder follows once the partition heals.
+func TestPartitionedPoller(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	one, two, three := w.Nodes["1"].Control(), w.Nodes["2"].Control(), w.Nodes["3"].Control()
-	w.Eventually("the first has the duty", func() bool { return one.Status().HoldsLease })
+	w.Eventually("the first holds the lease", func() bool { return one.Status().HoldsLease })
 	before := one.Status()
 	if before.LeaseAgeMs <= 0 {
 		t.Error("the holder does not know how old its lease is")
 	}
-	cut := w.Port + 1
-	w.ListenOnPort(cut, "2", "3", "11", "12")
+	otherPort := w.Port + 1
+	w.ListenOnPort(otherPort, "2", "3", "11", "12")
 	w.UseInternalPort(w.Port+2, "1")
-	w.UseInternalPort(cut, "2", "3", "11", "12")
+	w.UseInternalPort(otherPort, "2", "3", "11", "12")
 	w.SetEndpointState("plain-a", "draining")
 	both := 0
 	w.Eventually("the majority goes on", func() bool {
@@ -31,7 +32,7 @@
 		}
 		return st.HoldsLease && st.LeaseEpoch > before.LeaseEpoch && st.LeaseHolder == st.ID
 	})
-	w.Eventually("the fronts leave the searcher alone", func() bool {
+	w.Eventually("the fronts send the endpoint nothing", func() bool {
 		ran := s["plain-a"].RunCount()
 		for range 6 {
 			w.Request(11, "GET", "/p/x", "")
@@ -39,13 +40,13 @@
 		}
 		return s["plain-a"].RunCount() == ran
 	})
-	// The list lags and calls it ready once more. Several leases go by.
+	// The platform's list lags and calls it ready again. Several leases go by.
 	w.SetEndpointState("plain-a", "ready")
-	alone := one.Status().TableStamp
+	tableBefore := one.Status().TableStamp
 	for end := time.Now().Add(6 * one.Host().Heartbeats(1)); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		st := one.Status()
-		if st.HoldsLease || st.LeaseEpoch != before.LeaseEpoch || st.TableStamp != alone {
-			t.Fatalf("the one cut off has epoch %d (it had %d), polls: %v, table %v", st.LeaseEpoch, before.LeaseEpoch, st.HoldsLease, st.TableStamp)
+		if st.HoldsLease || st.LeaseEpoch != before.LeaseEpoch || st.TableStamp != tableBefore {
+			t.Fatalf("the partitioned node has epoch %d (it had %d), holds the lease: %v, table %v", st.LeaseEpoch, before.LeaseEpoch, st.HoldsLease, st.TableStamp)
 		}
 	}
 	one.Loop().Call(func() {
@@ -53,7 +54,7 @@
 			t.Errorf("it granted itself epoch %d", records[control.PollerRole].Epoch)
 		}
 	})
-	// It settles nothing and says so at once; what was acknowledged stays so.
+	// It decides nothing and says so at once; what was acknowledged stays so.
 	for _, call := range []struct {
 		method, match, body string
 		want                int
@@ -61,15 +62,15 @@
 		at := time.Now()
 		status, text := w.PutConfiguration(1, call.method, call.match, call.body)
 		if took := time.Since(at); status != call.want || took > one.Host().Heartbeats(2) {
-			t.Errorf("%s by the one cut off: %d after %v: %s", call.method, status, took, text)
+			t.Errorf("%s by the partitioned node: %d after %v: %s", call.method, status, took, text)
 		}
 	}
 	if st := one.Status(); !st.Isolated || st.MajorityAgeMs < one.Host().Heartbeats(2).Milliseconds() || two.Status().Isolated {
-		t.Errorf("the one cut off shows lone %v, a majority %d ms ago; another %v", st.Isolated, st.MajorityAgeMs, two.Status().Isolated)
+		t.Errorf("the partitioned node shows isolated %v, a majority %d ms ago; another %v", st.Isolated, st.MajorityAgeMs, two.Status().Isolated)
 	}
 	other := two.Status().LeaseEpoch
 	w.UseInternalPort(w.Port, "1", "2", "3", "11", "12")
-	w.Eventually("the healed one has the duty again, above the others' epoch", func() bool {
+	w.Eventually("it holds the lease again, above the others' epoch", func() bool {
 		st := one.Status()
 		if st.HoldsLease && two.Status().HoldsLease {
 			both++
@@ -77,10 +78,10 @@
 		return st.HoldsLease && st.LeaseEpoch > other
 	})
 	if both > 0 {
-		t.Errorf("seen to poll both: %d times", both)
+		t.Errorf("both were seen to hold the lease: %d times", both)
 	}
 	w.SetEndpointState("s1-a", "draining") // a change, so that there is a table of that epoch
-	w.Eventually("it shows that it is in touch again, and what it remembers", func() bool {
+	w.Eventually("it hears a majority again, and remembers the changes", func() bool {
 		st := one.Status()
 		return !st.Isolated && st.MajorityAgeMs < one.Host().Heartbeats(1).Milliseconds() && st.DurableSlot == st.Slot && st.BehindBy == 0 && st.Incarnation == 1 && st.RememberedChanges == 1 && st.AppliedChanges == 1
 	})
@@ -91,7 +92,7 @@
 	one.Loop().Call(func() {
 		for _, x := range one.Table().Endpoints {
 			if x.ID == "plain-a" && !x.Draining {
-				t.Error("what drained during the cut is ready again")
+				t.Error("what drained during the partition is ready again")
 			}
 		}
 	})
