--- a/internal/cache/doc.go
+++ b/internal/cache/doc.go
@@ -1,6 +1,6 @@
-// Package larder holds what the content tier knows: copies of objects and
-// their lifetimes, which purges ended which copies, and what is to be fetched
-// next. Everything here is a state machine that knows no clock, no disk and no
-// network. In the field's terms: a shared HTTP cache (RFC 9111) with
-// invalidation by path and by surrogate key, and request collapsing.
+// Package cache implements a shared HTTP cache (RFC 9111) without its I/O:
+// cached objects and how they answer conditional and range requests, a store
+// of bounded size, a log of purges by path and by tag (surrogate key), and a
+// queue of fetches that collapses requests for one object. All of it is plain
+// state: callers pass the time, a monotonic clock's, and provide the locking.
 package cache
