--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -57,7 +57,7 @@
 		s.writeOperatorError(c, err)
 		return
 	}
-	s.waitFrontsHold(s.State().Slot, min(s.acknowledgeTime(frontsWaitRatio), time.Until(deadline)/2))
+	s.fronts.waitHold(s.State().Slot, min(s.acknowledgeTime(frontsWaitRatio), time.Until(deadline)/2))
 	transport.WriteJSON(c, http.StatusOK, map[string]int64{"Version": version})
 }
 
--- a/internal/control/discovery_poller.go
+++ b/internal/control/discovery_poller.go
@@ -52,8 +52,8 @@
 		tables:                 s.tables,
 		client:                 discoveryClient{settings: s.host.Settings, client: s.host.Client},
 		peerIPs:                s.peerIPs,
-		frontsMissEndpoints:    s.frontsMissEndpoints,
-		removeSilentCacheNodes: s.removeSilentCacheNodes,
+		frontsMissEndpoints:    s.fronts.missEndpoints,
+		removeSilentCacheNodes: s.cacheNodes.removeSilent,
 	}
 }
 
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -27,9 +27,9 @@
 func (h *Server) PollLease() *lease.Candidate          { return h.pollLease.Candidate }
 func (h *Server) Incarnation() int64                   { return h.incarnation }
 func (h *Server) TableDeltas() int                     { return len(h.tables.deltas) }
-func (h *Server) SetFrontCounts(n int)                 { h.frontCount, h.persistedFrontCount = n, n }
-func (h *Server) InheritedFrontCount() int             { return h.inheritedFrontCount }
-func (h *Server) PersistedFrontCount() int             { return h.persistedFrontCount }
+func (h *Server) SetFrontCounts(n int)                 { h.fronts.count, h.fronts.persistedCount = n, n }
+func (h *Server) InheritedFrontCount() int             { return h.fronts.inheritedCount }
+func (h *Server) PersistedFrontCount() int             { return h.fronts.persistedCount }
 func (h *Server) OrderKnownAt() map[int64]time.Duration {
 	return h.rollouts.orderKnownAt
 }
@@ -41,9 +41,10 @@
 func (h *Server) MemberReport() membership.Report   { return h.memberReport() }
 func (h *Server) WaitDurable() int64                { return h.waitDurable() }
 func (h *Server) SetTable(t *endpoints.Table)       { h.tables.set(t) }
-func (h *Server) CountFronts(now time.Duration) int { return h.countFronts(now) }
+func (h *Server) CountFronts(now time.Duration) int { return h.fronts.countAll(now) }
 func (h *Server) FrontsAround(zone string) (region, here int) {
-	return h.frontsAround(zone)
+	counts := h.fronts.around(zone)
+	return counts.region, counts.zone
 }
 
 func (h *Server) HandleJoin(m nodeapi.JoinRequest) nodeapi.JoinResponse {
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -9,7 +9,6 @@
 	"swiftswitch/internal/lease"
 	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/peersampling"
-	"swiftswitch/internal/records"
 )
 
 // Times of heartbeats, in heartbeat intervals.
@@ -39,8 +38,8 @@
 		Holder:         s.pollLease.ObservedHolder,
 		Ineligible:     !s.pollLease.Eligible(s.host.Now()),
 		Stamp:          s.tables.stamp(),
-		FrontCount:     s.frontCount,
-		RosterRevision: s.frontRoster().Revision,
+		FrontCount:     s.fronts.count,
+		RosterRevision: s.fronts.ownRoster().Revision,
 		ElapsedMs:      s.rollouts.elapsedTerms(),
 		Draining:       s.host.Draining.Load(),
 	}
@@ -52,15 +51,11 @@
 	now := s.host.Now()
 	ip := heartbeat.IP
 	s.peers.onHeartbeat(heartbeat, now)
-	s.onFrontCount(heartbeat.FrontCount, now)
+	s.fronts.onPeerCount(heartbeat.FrontCount, now)
 	s.pollLease.OnHeartbeat(heartbeat.ID, !heartbeat.Draining && !heartbeat.Ineligible, now)
 	s.pollLease.ObserveEpoch(heartbeat.Epoch, heartbeat.Holder)
 	s.rollouts.onElapsedTerms(heartbeat.ElapsedMs, now)
-	if r := s.peerRosters[ip]; r.Revision != heartbeat.RosterRevision && !r.fetching {
-		r.fetching = true
-		s.peerRosters[ip] = r
-		go s.fetchRoster(ip)
-	}
+	s.fronts.onRosterRevision(ip, heartbeat.RosterRevision)
 	s.peers.handoff.OnAcknowledged(ip, heartbeat.DurableSlot)
 	own := s.acceptor.State.Slot
 	if heartbeat.DecidedSlot < own && s.peers.handoff.NeedsHandoff(ip, own) {
@@ -72,18 +67,6 @@
 	}
 }
 
-// onFrontCount takes how many fronts another control node counts. A node that
-// no front watches, or that just started, goes by it. It runs on loop.
-func (s *Server) onFrontCount(count int, now time.Duration) {
-	if now < config.Seconds(s.host.Settings().Bounds.RetryWindowS, 1) {
-		s.inheritedFrontCount = max(s.inheritedFrontCount, count)
-	}
-	if count > s.persistedFrontCount {
-		s.persistedFrontCount = count
-		s.writeRecord(records.KeyFrontCount, count, nil)
-	}
-}
-
 // peerIPs lists the other control nodes to send to: the voters and the nodes
 // heard lately. It forgets the others. It runs on loop.
 func (s *Server) peerIPs() (ips []string) {
@@ -103,7 +86,7 @@
 			add(ip)
 		} else if !slices.Contains(ips, ip) {
 			s.peers.forget(ip)
-			delete(s.peerRosters, ip)
+			s.fronts.forgetPeer(ip)
 		}
 	}
 	return ips
--- a/internal/control/internal_api.go
+++ b/internal/control/internal_api.go
@@ -44,11 +44,11 @@
 		// Fronts and cache nodes.
 		nodeapi.PathCacheJoin:   handle(s.handleCacheJoinRequest),
 		nodeapi.PathFrontRoster: report(s.handleFrontRoster),
-		nodeapi.PathWatch:       handle(infallible(s.handleWatch)),
+		nodeapi.PathWatch:       handle(infallible(s.watch.handle)),
 
 		// Rollouts.
-		nodeapi.PathRolloutReport: notify(s, s.onRolloutReport),
-		nodeapi.PathRolloutTotals: notify(s, s.onRolloutTotals),
+		nodeapi.PathRolloutReport: notify(s, s.rollouts.onReport),
+		nodeapi.PathRolloutTotals: notify(s, s.rollouts.onTotals),
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	var response nodeapi.VersionResponse
 	var body []byte
-	s.loop.Call(func() { response, body = s.versionResponse(request) })
+	s.loop.Call(func() { response, body = s.versions.response(request) })
 	c.SetStatusCode(200)
 	c.Response.Header.Set(nodeapi.HeaderVersion, string(codec.MustEncode("version", response)))
 	c.Response.Header.SetContentType("application/json")
@@ -166,7 +166,7 @@
 
 // handleCacheJoinRequest makes a node one of the cache nodes.
 func (s *Server) handleCacheJoinRequest(node consensus.CacheNode) (empty, error) {
-	if !s.handleCacheJoin(node) {
+	if !s.cacheNodes.join(node) {
 		return empty{}, ErrNotAgreed
 	}
 	return empty{}, nil
@@ -174,6 +174,6 @@
 
 // handleFrontRoster lists the fronts that watch this node before others.
 func (s *Server) handleFrontRoster() (roster nodeapi.FrontRoster, _ error) {
-	s.loop.Call(func() { roster = s.frontRoster() })
+	s.loop.Call(func() { roster = s.fronts.ownRoster() })
 	return roster, nil
 }
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -58,7 +58,7 @@
 	done := make(chan error, 1)
 	s.loop.Call(func() {
 		held = s.heartbeat()
-		held.FrontCount = s.persistedFrontCount
+		held.FrontCount = s.fronts.persistedCount
 		state := s.acceptor.State
 		s.store.PutAll(records.StateRecords(state, state.Version, state.AppliedCount), func(err error) {
 			if err == nil {
--- a/internal/control/rollout_reports.go
+++ b/internal/control/rollout_reports.go
@@ -52,12 +52,9 @@
 // not know the order's current phase.
 func (c *rolloutController) laggingFronts() map[int64]int {
 	lagging := map[int64]int{}
-	now := c.server.host.Now()
 	for _, r := range c.running() {
-		for _, front := range c.server.fronts {
-			if front.rolloutSlot < r.Slot && now < front.overdueAt {
-				lagging[r.OrderSlot]++
-			}
+		if n := c.server.fronts.behindRollout(r.Slot); n > 0 {
+			lagging[r.OrderSlot] = n
 		}
 	}
 	return lagging
@@ -79,9 +76,3 @@
 	}
 	return byOrder
 }
-
-// onRolloutReport passes a front's report on. Runs on the loop.
-func (s *Server) onRolloutReport(report nodeapi.RolloutReport) { s.rollouts.onReport(report) }
-
-// onRolloutTotals passes another control node's totals on. Runs on the loop.
-func (s *Server) onRolloutTotals(totals nodeapi.RolloutTotals) { s.rollouts.onTotals(totals) }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,7 +13,6 @@
 	"swiftswitch/internal/host"
 	"swiftswitch/internal/membership"
 	"swiftswitch/internal/records"
-	"swiftswitch/internal/relay"
 	"swiftswitch/internal/storage"
 )
 
@@ -29,36 +28,24 @@
 
 	// tables holds the endpoint table.
 	tables *tableController
-	// packedVersions holds the responses to fronts that ask for the
-	// configuration, by the version that they hold.
-	packedVersions map[int64]packedVersion
+	// versions answers the fronts that fetch the configuration.
+	versions *versionCache
 	// pollLease campaigns for the lease of the poller role and grants it; poller
 	// polls the platform while this node holds that lease.
 	pollLease *leaseController
 	poller    *discoveryPoller
 	// peers holds what is known of the other control nodes.
-	peers  peerTable
-	fronts map[string]frontState
-	// frontCount is how many fronts there are, before what an earlier life counted.
-	frontCount, inheritedFrontCount int
-	frontsCountedAt                 time.Duration
-	// persistedFrontCount is the count on disk.
-	persistedFrontCount int
-	changed             chan struct{}
-	// rosterRevision numbers the states of the roll of nodes that watch this hut
-	// first; rolls holds those of the other huts.
-	rosterRevision int64
-	lastRoster     []relay.Front
-	peerRosters    map[string]peerRoster
-	// cacheNodeHeardAt are the larders, and when they were last heard.
-	cacheNodeHeardAt map[string]time.Duration
-	purgeQueue       chan *pendingPurge
-	unreachable      unreachableTable
-	rollouts         *rolloutController
-	// reportScheduled: what is new in gossip goes out in a moment.
-	reportScheduled bool
-	// knownFronts are the fronts that this hut or another heard, and when.
-	knownFronts map[string]knownFront
+	peers peerTable
+	// fronts holds what is known of the fronts and cache nodes, cacheNodes changes
+	// the list of cache nodes, watch answers the long polls of both.
+	fronts     *frontRegistry
+	cacheNodes *cacheNodeRegistry
+	watch      *watchHandler
+	// unreachable collects the fronts' reports of endpoints that do not answer.
+	unreachable *unreachableTable
+	// purges and rollouts have operators' orders decided; rollouts carries them on.
+	purges   *purgeController
+	rollouts *rolloutController
 
 	// bootID is drawn for each run of the process. It is the high part of
 	// revisions that count within one run, so that those of two runs differ.
@@ -69,9 +56,6 @@
 	closing        atomic.Bool
 }
 
-// purgeQueueLength is how many purges may wait to be decided.
-const purgeQueueLength = 1024
-
 // New makes the control server of a node from what its disk holds. Start runs it.
 func New(n *host.Host) (*Server, error) {
 	settings := n.Settings()
@@ -96,23 +80,19 @@
 // then the controllers, each after those that it refers to.
 func newServer(n *host.Host, store *storage.Store, stored *records.Stored) *Server {
 	s := &Server{
-		host:                n,
-		store:               store,
-		loop:                commandloop.New(),
-		bootID:              newBootID(),
-		changed:             make(chan struct{}),
-		fronts:              map[string]frontState{},
-		knownFronts:         map[string]knownFront{},
-		peerRosters:         map[string]peerRoster{},
-		cacheNodeHeardAt:    map[string]time.Duration{},
-		purgeQueue:          make(chan *pendingPurge, purgeQueueLength),
-		packedVersions:      map[int64]packedVersion{},
-		inheritedFrontCount: stored.FrontCount,
-		persistedFrontCount: stored.FrontCount,
+		host:   n,
+		store:  store,
+		loop:   commandloop.New(),
+		bootID: newBootID(),
 	}
 	s.replica = newReplica(n, store, s.loop, stored)
 	s.replica.owner = s
-	s.unreachable = unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}, revision: s.bootID}
+	s.watch = newWatchHandler(s)
+	s.versions = newVersionCache(s)
+	s.unreachable = newUnreachableTable(s.bootID)
+	s.fronts = newFrontRegistry(s, stored.FrontCount)
+	s.cacheNodes = newCacheNodeRegistry(s)
+	s.purges = newPurgeController(s)
 	s.peers = newPeerTable(membership.NewFailureDetector(n.Heartbeats(1), n.Now()))
 	s.tables = newTableController(s, stored.Table)
 	s.pollLease = newLeaseController(s, stored.Leases)
@@ -140,7 +120,7 @@
 	go s.poller.run()
 	go s.joinLoop()
 	go s.finishAcceptedLoop()
-	go s.purgeLoop()
+	go s.purges.run()
 	go s.rollouts.run()
 }
 
@@ -159,16 +139,10 @@
 	s.pollLease.voter.SetVoters(learned.VotersSlot, learned.IsVoter(s.acceptor.ID), isNextSlot, s.host.Now())
 	s.rollouts.apply()
 	if learned.Version != old.Version {
-		clear(s.packedVersions)
+		s.versions.invalidate()
 	}
 }
 
-// notifyWatchers wakes the long polls that wait for news. It runs on the loop.
-func (s *Server) notifyWatchers() {
-	close(s.changed)
-	s.changed = make(chan struct{})
-}
-
 // Close ends the server at once; the store gets the time given to finish its writes.
 func (s *Server) Close(within time.Duration) {
 	s.store.Close(within)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -4,85 +4,130 @@
 	"slices"
 	"time"
 
+	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
 )
 
-// Status is the hut's part of the status.
+// peerSlotTTL, in heartbeats, is how long the slot that another control node
+// reported counts for Status.BehindBy.
+const peerSlotTTL = 2
+
+// Status is the control server's part of the node's status.
 type Status struct {
-	ID      string `json:"ID"`
-	Slot    int64  `json:"Slot"`
-	Version int64  `json:"Version"`
-	// DurableSlot is the last slot on disk; BehindBy counts the slots that the huts
-	// heard lately know beyond this one's.
+	// ID is the identity on the node's disk.
+	ID string `json:"ID"`
+	// Slot is the last decided slot that the node knows, Version the
+	// configuration in force at it.
+	Slot    int64 `json:"Slot"`
+	Version int64 `json:"Version"`
+	// DurableSlot is the last decided slot on disk. BehindBy counts the slots
+	// that control nodes heard lately know beyond Slot.
 	DurableSlot int64 `json:"Kept"`
 	BehindBy    int64 `json:"BehindBy,omitempty"`
-	// Incarnation numbers this identity's lives. Promised is the ballot below which
-	// this voter refuses, Accepted that of the value whose outcome it waits for.
-	Incarnation int64    `json:"Life"`
-	Promised    string   `json:"Promised,omitempty"`
-	Accepted    string   `json:"Accepted,omitempty"`
-	Voters      []string `json:"Voters"`
-	IsVoter     bool     `json:"Votes"`
-	// VotersSlot decided the voters.
+	// Incarnation numbers the runs with this identity. Promised is the ballot
+	// below which this acceptor rejects, Accepted that of the value that it
+	// accepted for the open slot.
+	Incarnation int64  `json:"Life"`
+	Promised    string `json:"Promised,omitempty"`
+	Accepted    string `json:"Accepted,omitempty"`
+	// Voters are the voters as ID@IP.
+	Voters  []string `json:"Voters"`
+	IsVoter bool     `json:"Votes"`
+	// VotersSlot is the slot that decided the voters.
 	VotersSlot int64 `json:"VotersSlot"`
-	// MajorityAgeMs is how long ago a majority of the voters, this one
-	// included, was last heard; Lone: too long to settle anything.
+	// MajorityAgeMs is how long ago a majority of the voters, this node
+	// included, was last heard. Isolated reports that it is too long for this
+	// node to have anything decided.
 	MajorityAgeMs int64 `json:"MajorityAgeMs"`
 	Isolated      bool  `json:"Lone,omitempty"`
-	// RememberedChanges counts the changes that are known when they are sent again, of
-	// all Changes that were ever taken.
-	RememberedChanges int    `json:"Resends"`
-	AppliedChanges    int64  `json:"Changes"`
-	LeaseEpoch        int64  `json:"Epoch"`
-	LeaseHolder       string `json:"Holder"`
-	HoldsLease        bool   `json:"Polling"`
-	// LeaseAgeMs is how long ago the holder asked for the lease that runs.
-	LeaseAgeMs int64            `json:"LeaseAgeMs,omitempty"`
-	TableStamp endpoints.Stamp  `json:"Table"`
-	Endpoints  int              `json:"Searchers"`
+	// RememberedChanges counts the applied changes that are recognized when
+	// they are sent again, AppliedChanges those that were ever applied.
+	RememberedChanges int   `json:"Resends"`
+	AppliedChanges    int64 `json:"Changes"`
+	// LeaseEpoch and LeaseHolder are those of the newest lease of the poller
+	// role that the node knows. HoldsLease reports that it holds the lease.
+	LeaseEpoch  int64  `json:"Epoch"`
+	LeaseHolder string `json:"Holder"`
+	HoldsLease  bool   `json:"Polling"`
+	// LeaseAgeMs is how long ago the holder asked for the lease in force.
+	LeaseAgeMs int64 `json:"LeaseAgeMs,omitempty"`
+	// TableStamp orders the endpoint table, which lists so many Endpoints.
+	TableStamp endpoints.Stamp `json:"Table"`
+	Endpoints  int             `json:"Searchers"`
+	// FrontSlots is the last decided slot that each watcher holds, by its name.
 	FrontSlots map[string]int64 `json:"Fronts"`
-	PurgeSeq   int64            `json:"Purge,omitempty"`
-	CacheNodes []string         `json:"Larders,omitempty"`
-	// Rollouts are the services' last orders, the last changed first.
+	// PurgeSeq is the number of the last purge.
+	PurgeSeq int64 `json:"Purge,omitempty"`
+	// CacheNodes are the cache nodes as name@IP.
+	CacheNodes []string `json:"Larders,omitempty"`
+	// Rollouts are the services' last orders, the one that changed last first.
 	Rollouts []RolloutStatus `json:"Rollouts,omitempty"`
 }
 
-func (h *Server) Status() *Status {
-	st := &Status{FrontSlots: map[string]int64{}}
-	h.loop.Call(func() {
-		s, now := h.acceptor.State, h.host.Now()
-		st.ID, st.Slot, st.Version, st.IsVoter = h.acceptor.ID, s.Slot, s.Version, s.IsVoter(h.acceptor.ID)
-		var silent []time.Duration
-		for _, v := range s.Voters {
-			st.Voters = append(st.Voters, v.ID+"@"+v.IP)
-			silent = append(silent, h.pollLease.SilentFor(v.ID, now))
-		}
-		if slices.Sort(silent); len(silent) > 0 {
-			st.MajorityAgeMs = silent[len(silent)/2].Milliseconds()
-		}
-		st.Isolated, st.Incarnation, st.DurableSlot, st.VotersSlot = h.lacksMajority(now), h.incarnation, h.acceptor.DurableSlot(), s.VotersSlot
-		st.Promised, st.Accepted = h.acceptor.Promised.String(), h.acceptor.AcceptedBallot.String()
-		st.RememberedChanges, st.AppliedChanges = len(s.AppliedChanges), s.AppliedCount
-		for _, o := range h.peers.byIP {
-			if now-o.heardAt < h.host.Heartbeats(2) {
-				st.BehindBy = max(st.BehindBy, o.slot-s.Slot)
-			}
-		}
-		st.LeaseEpoch, st.LeaseHolder, st.HoldsLease = h.pollLease.ObservedEpoch, h.pollLease.ObservedHolder, h.pollLease.Holds(now)
-		if sent, ok := h.pollLease.LeaseStart(); ok && st.HoldsLease {
-			st.LeaseAgeMs = max(1, (now - sent).Milliseconds())
+// Status reports the state of the server. It must not be called on the loop.
+func (s *Server) Status() *Status {
+	status := &Status{}
+	s.loop.Call(func() {
+		now := s.host.Now()
+		state := s.acceptor.State
+		s.addConsensusStatus(status, state)
+		s.addVotersStatus(status, state, now)
+		s.addLeaseStatus(status, now)
+		if table := s.tables.current; table != nil {
+			status.TableStamp = table.Stamp
+			status.Endpoints = len(table.Endpoints)
 		}
-		if h.tables.current != nil {
-			st.TableStamp, st.Endpoints = h.tables.current.Stamp, len(h.tables.current.Endpoints)
-		}
-		for name, f := range h.fronts {
-			st.FrontSlots[name] = f.slot
-		}
-		st.PurgeSeq = s.PurgeSeq
-		for _, l := range s.CacheNodes {
-			st.CacheNodes = append(st.CacheNodes, l.Name+"@"+l.IP)
+		status.FrontSlots = s.fronts.slots()
+		status.PurgeSeq = state.PurgeSeq
+		for _, node := range state.CacheNodes {
+			status.CacheNodes = append(status.CacheNodes, node.Name+"@"+node.IP)
 		}
 	})
-	st.Rollouts = h.rollouts.statuses(h.State())
-	return st
+	status.Rollouts = s.rollouts.statuses(s.State())
+	return status
+}
+
+// addConsensusStatus adds what this node's acceptor holds. It runs on the loop.
+func (s *Server) addConsensusStatus(status *Status, state consensus.State) {
+	status.ID = s.acceptor.ID
+	status.Incarnation = s.incarnation
+	status.Slot = state.Slot
+	status.DurableSlot = s.acceptor.DurableSlot()
+	status.Version = state.Version
+	status.Promised = s.acceptor.Promised.String()
+	status.Accepted = s.acceptor.AcceptedBallot.String()
+	status.RememberedChanges = len(state.AppliedChanges)
+	status.AppliedChanges = state.AppliedCount
+}
+
+// addVotersStatus adds who votes, and how far this node is in touch with the
+// others. It runs on the loop.
+func (s *Server) addVotersStatus(status *Status, state consensus.State, now time.Duration) {
+	status.IsVoter = state.IsVoter(s.acceptor.ID)
+	status.VotersSlot = state.VotersSlot
+	status.Isolated = s.lacksMajority(now)
+	var silences []time.Duration
+	for _, voter := range state.Voters {
+		status.Voters = append(status.Voters, voter.ID+"@"+voter.IP)
+		silences = append(silences, s.pollLease.SilentFor(voter.ID, now))
+	}
+	slices.Sort(silences)
+	if len(silences) > 0 {
+		status.MajorityAgeMs = silences[len(silences)/2].Milliseconds()
+	}
+	for _, peer := range s.peers.byIP {
+		if now-peer.heardAt < s.host.Heartbeats(peerSlotTTL) {
+			status.BehindBy = max(status.BehindBy, peer.slot-state.Slot)
+		}
+	}
+}
+
+// addLeaseStatus adds the lease of the poller role. It runs on the loop.
+func (s *Server) addLeaseStatus(status *Status, now time.Duration) {
+	status.LeaseEpoch = s.pollLease.ObservedEpoch
+	status.LeaseHolder = s.pollLease.ObservedHolder
+	status.HoldsLease = s.pollLease.Holds(now)
+	if askedAt, ok := s.pollLease.LeaseStart(); ok && status.HoldsLease {
+		status.LeaseAgeMs = max(1, (now - askedAt).Milliseconds())
+	}
 }
--- a/internal/control/unreachable_test.go
+++ b/internal/control/unreachable_test.go
@@ -10,7 +10,7 @@
 // What one front says is kept; what several say is told, once, and lapses.
 func TestGossip(t *testing.T) {
 	const fresh, lasts = 2 * time.Second, 3 * time.Second
-	g := unreachableTable{reports: map[int64]map[string]time.Duration{}, unreachableUntil: map[int64]time.Duration{}}
+	g := newUnreachableTable(0)
 	need := requiredReporters(50)
 	if need != 3 || requiredReporters(2) != 2 {
 		t.Fatalf("%d of 50 fronts, %d of 2", need, requiredReporters(2))
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -1,311 +1,153 @@
 package control
 
 import (
-	"math/rand/v2"
-	"slices"
-	"strings"
-	"swiftswitch/internal/codec"
-	"swiftswitch/internal/nodeapi"
-	"swiftswitch/internal/records"
 	"time"
 
-	"swiftswitch/internal/config"
-	"swiftswitch/internal/relay"
+	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/nodeapi"
 )
 
-// What huts tell the fronts that watch them.
+// Times of long polls, in heartbeats.
+const (
+	// minWatchHold is the least time for which a long poll is held.
+	minWatchHold = 0.2
+	// announceDelay is how long news is held back from a watcher that wants no
+	// table: its primary brings the table sooner, and what follows goes along.
+	announceDelay = 0.1
+)
 
-type frontState struct {
-	heardAt time.Duration
-	// overdueAt is when it must have been heard again.
-	overdueAt time.Duration
-	slot      int64
-	ip        string
-	zone      string
-	// ready: other fronts may ask it.
-	ready bool
-	// silentEndpoints is how many searchers have fallen silent for it.
-	silentEndpoints int
-	// primary: it watches this hut before others. larder: it serves no clients.
-	primary, cacheNode bool
-	// rolloutSlot is the slot up to which it knows the rollouts.
-	rolloutSlot int64
+// watchHandler answers the long polls of fronts and cache nodes: a poll is held
+// until this node knows something that the watcher lacks.
+type watchHandler struct {
+	server *Server
+	// changed is closed, and replaced, when there may be news for watchers. It
+	// is owned by Server.loop.
+	changed chan struct{}
 }
 
-// knownFront is a front that this hut or another heard at a time.
-type knownFront struct {
-	heardAt time.Duration
-	zone    string
+func newWatchHandler(s *Server) *watchHandler {
+	return &watchHandler{server: s, changed: make(chan struct{})}
 }
 
-type peerRoster struct {
-	nodeapi.FrontRoster
-	fetching bool
+// notify wakes the polls that wait for news. It runs on Server.loop.
+func (w *watchHandler) notify() {
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
-// handleWatch waits for news that the asker lacks, at most for a heartbeat.
-func (h *Server) handleWatch(m nodeapi.WatchRequest) nodeapi.WatchResponse {
-	hold := max(h.host.Heartbeats(0.2), min(h.host.LongPollTimeout(), time.Duration(m.MaxHoldMs)*time.Millisecond))
-	until := time.NewTimer(hold)
-	defer until.Stop()
-	for late := false; ; {
-		var say nodeapi.WatchResponse
+// notifyWatchers wakes the long polls that wait for news. It runs on the loop.
+func (s *Server) notifyWatchers() { s.watch.notify() }
+
+// handle answers a long poll with what the watcher lacks, or when the time to
+// hold it is over, or at once while the node drains.
+func (w *watchHandler) handle(request nodeapi.WatchRequest) nodeapi.WatchResponse {
+	host := w.server.host
+	hold := time.Duration(request.MaxHoldMs) * time.Millisecond
+	hold = max(host.Heartbeats(minWatchHold), min(host.LongPollTimeout(), hold))
+	expired := time.NewTimer(hold)
+	defer expired.Stop()
+	for last := false; ; {
+		var response nodeapi.WatchResponse
 		var changed chan struct{}
-		news := false
-		h.loop.Call(func() {
-			h.onWatch(m, h.host.Now()+hold)
-			say, news = h.watchResponse(m)
-			changed = h.changed
+		var hasNews bool
+		w.server.loop.Call(func() {
+			w.server.fronts.onWatch(request, host.Now()+hold)
+			response, hasNews = w.response(request)
+			changed = w.changed
 		})
-		if m.Locate {
-			return say
+		if request.Locate {
+			return response
 		}
-		if news && m.OmitTable && !late {
-			// Whoever is watched first brings it sooner; what follows goes along.
+		if hasNews && request.OmitTable && !last {
 			select {
-			case <-time.After(h.host.Heartbeats(0.1)):
-			case <-h.host.Stopping:
+			case <-time.After(host.Heartbeats(announceDelay)):
+			case <-host.Stopping:
 			}
-			late = true
+			last = true
 			continue
 		}
-		if news || late || h.host.Draining.Load() {
-			return say
+		if hasNews || last || host.Draining.Load() {
+			return response
 		}
 		select {
 		case <-changed:
-		case <-until.C:
-			late = true
-		case <-h.host.Stopping:
-			return say
+		case <-expired.C:
+			last = true
+		case <-host.Stopping:
+			return response
 		}
 	}
 }
 
-// onWatch notes a node that watches; it runs on the desk.
-func (h *Server) onWatch(m nodeapi.WatchRequest, until time.Duration) {
-	h.fronts[m.Name] = frontState{h.host.Now(), until + h.host.Heartbeats(1), m.Slot, m.IP, m.Zone, m.Ready, m.UnreachableCount, m.Primary, m.IsCacheNode, m.RolloutSlot}
-}
-
-// watchResponse tells a watcher what it lacks; it runs on the desk.
-func (h *Server) watchResponse(m nodeapi.WatchRequest) (say nodeapi.WatchResponse, news bool) {
-	now := h.host.Now()
-	s := h.acceptor.State
-	say = nodeapi.WatchResponse{Zone: h.host.Settings().Zone, Slot: s.Slot, Version: s.Version, FrontCount: h.countFronts(now), PurgeSeq: s.PurgeSeq, CompactedPurgeSeq: s.CompactedPurgeSeq()}
-	say.FrontsInRegion, say.FrontsInZone = h.frontsAround(m.Zone)
-	say.LacksMajority = h.lacksMajority(now)
-	if m.WantRoster || m.Locate || s.Slot > m.Slot {
-		for _, v := range s.Voters {
-			say.ControlNodes = append(say.ControlNodes, nodeapi.ControlNode{IP: v.IP, Zone: h.zoneOf(v.IP)})
-		}
-		say.CacheNodes = s.CacheNodes
-	}
-	if m.WantRoster {
-		say.Roster = h.roster(now, m.Zone)
-	}
-	if say.RolloutSlot = s.Slot; !m.Locate && s.Slot > m.RolloutSlot {
-		say.Rollouts = s.RolloutsAfter(m.RolloutSlot)
-		news = len(say.Rollouts) > 0
-	}
-	if m.PurgeSeq >= 0 {
-		say.Purges = s.PurgesAfter(m.PurgeSeq)
-	}
-	if say.UnreachableRevision = h.unreachable.revision; m.Primary && !m.Locate && m.UnreachableRevision != say.UnreachableRevision {
-		say.UnreachableOrdinals = h.unreachable.current(now, h.host.Heartbeats(2))
-		news = news || len(say.UnreachableOrdinals) > 0
-	}
-	if h.tables.current != nil {
-		say.Stamp = h.tables.current.Stamp
-		if m.Stamp.Before(h.tables.current.Stamp) {
-			news = true
-			if !m.OmitTable && !m.Locate {
-				say.Delta = h.tables.delta(m.Stamp)
-			}
-		}
+// response holds what a watcher lacks. hasNews reports whether it should be sent
+// before the time to hold the poll is over. It runs on Server.loop.
+func (w *watchHandler) response(request nodeapi.WatchRequest) (response nodeapi.WatchResponse, hasNews bool) {
+	s := w.server
+	now := s.host.Now()
+	state := s.acceptor.State
+	response = nodeapi.WatchResponse{
+		Zone:                s.host.Settings().Zone,
+		LacksMajority:       s.lacksMajority(now),
+		Slot:                state.Slot,
+		Version:             state.Version,
+		FrontCount:          s.fronts.countAll(now),
+		PurgeSeq:            state.PurgeSeq,
+		CompactedPurgeSeq:   state.CompactedPurgeSeq(),
+		RolloutSlot:         state.Slot,
+		UnreachableRevision: s.unreachable.revision,
 	}
-	return say, news || s.Slot > m.Slot && s.Version > 0
-}
-
-func (h *Server) zoneOf(ip string) string {
-	if ip == h.host.Settings().IpAddress {
-		return h.host.Settings().Zone
+	counts := s.fronts.around(request.Zone)
+	response.FrontsInRegion, response.FrontsInZone = counts.region, counts.zone
+	if request.WantRoster || request.Locate || state.Slot > request.Slot {
+		response.ControlNodes = w.controlNodes(state)
+		response.CacheNodes = state.CacheNodes
 	}
-	return h.peers.byIP[ip].zone
-}
-
-// frontRoster lists the fronts that watch this hut first; it runs on the desk.
-func (h *Server) frontRoster() nodeapi.FrontRoster {
-	now := h.host.Now()
-	r := nodeapi.FrontRoster{}
-	for name, f := range h.fronts {
-		if f.primary && now < f.overdueAt {
-			r.Fronts = append(r.Fronts, relay.Front{Name: name, IP: f.ip, Zone: f.zone, NotReady: !f.ready, CacheNode: f.cacheNode})
-		}
+	if request.WantRoster {
+		response.Roster = s.fronts.sample(request.Zone, now)
 	}
-	slices.SortFunc(r.Fronts, func(a, b relay.Front) int { return strings.Compare(a.Name, b.Name) })
-	if !slices.Equal(r.Fronts, h.lastRoster) {
-		h.lastRoster = slices.Clone(r.Fronts)
-		h.rosterRevision++
+	if request.PurgeSeq >= 0 {
+		response.Purges = state.PurgesAfter(request.PurgeSeq)
 	}
-	// Another life of this hut must not be taken for this one.
-	r.Revision = h.bootID + h.rosterRevision
-	return r
-}
-
-// fetchRoster brings the roll of another hut.
-func (h *Server) fetchRoster(ip string) {
-	var r nodeapi.FrontRoster
-	err := h.host.Client.CallJSON(h.host.Settings().InternalAddress(ip), nodeapi.PathFrontRoster, struct{}{}, &r, h.host.Heartbeats(0.8))
-	h.loop.Submit(func() {
-		if err != nil {
-			r = h.peerRosters[ip].FrontRoster
-		}
-		h.peerRosters[ip] = peerRoster{FrontRoster: r}
-	})
-}
-
-// maxRosterPerZone is how many fronts of a zone one front is told of.
-const maxRosterPerZone = 4
-
-// roster lists some fronts of every other zone that are ready; it runs on the desk.
-func (h *Server) roster(now time.Duration, but string) []relay.Front {
-	all := h.frontRoster().Fronts
-	for ip, r := range h.peerRosters {
-		if now-h.peers.byIP[ip].heardAt < config.Milliseconds(h.host.Settings().Bounds.InTouchMs, 1) {
-			all = append(all, r.Fronts...)
-		}
+	if !request.Locate && state.Slot > request.RolloutSlot {
+		response.Rollouts = state.RolloutsAfter(request.RolloutSlot)
+		hasNews = len(response.Rollouts) > 0
 	}
-	count := map[string]int{}
-	seen := map[string]bool{}
-	out := []relay.Front{}
-	for _, i := range rand.Perm(len(all)) {
-		f := all[i]
-		if !f.NotReady && !f.CacheNode && f.Zone != but && !seen[f.Name] && count[f.Zone] < maxRosterPerZone {
-			count[f.Zone]++
-			seen[f.Name] = true
-			out = append(out, f)
-		}
+	if request.Primary && !request.Locate && request.UnreachableRevision != s.unreachable.revision {
+		response.UnreachableOrdinals = s.unreachable.current(now, s.host.Heartbeats(unreachableReportTTL))
+		hasNews = hasNews || len(response.UnreachableOrdinals) > 0
 	}
-	return out
-}
-
-// frontsMissEndpoints tells whether fronts heard lately miss searchers; it runs on the desk.
-func (h *Server) frontsMissEndpoints() bool {
-	now := h.host.Now()
-	for _, f := range h.fronts {
-		if f.silentEndpoints > 0 && now < f.overdueAt {
-			return true
-		}
+	if w.addTable(&response, request) {
+		hasNews = true
 	}
-	return false
+	return response, hasNews || state.Slot > request.Slot && state.Version > 0
 }
 
-// alwaysRecount fronts are counted anew for each that asks.
-const alwaysRecount = 32
-
-// countFronts counts the fronts that this hut or another heard within the
-// window of the retry budget. A hut that just started goes by what it counted
-// in its life before: after a loss of everything the fronts must not think
-// that each of them is alone. It runs on the desk.
-func (h *Server) countFronts(now time.Duration) int {
-	window := config.Seconds(h.host.Settings().Bounds.RetryWindowS, 1)
-	if h.frontsCountedAt > 0 && now-h.frontsCountedAt < h.host.Heartbeats(0.1) && len(h.fronts) > alwaysRecount {
-		// Many ask at once, and each would count them all.
-		return h.frontCount
-	}
-	h.frontsCountedAt = now
-	for name, f := range h.fronts {
-		if !f.cacheNode {
-			h.knownFronts[name] = knownFront{f.heardAt, f.zone}
-		}
-		if now-f.heardAt > window {
-			delete(h.fronts, name)
-		}
-	}
-	for ip, r := range h.peerRosters {
-		for _, f := range r.Fronts {
-			if f.CacheNode {
-				continue
-			}
-			if at := h.peers.byIP[ip].heardAt; at > h.knownFronts[f.Name].heardAt {
-				h.knownFronts[f.Name] = knownFront{at, f.Zone}
-			}
-		}
-	}
-	for name, k := range h.knownFronts {
-		if now-k.heardAt > window {
-			delete(h.knownFronts, name)
-		}
-	}
-	n := len(h.knownFronts)
-	if now < window {
-		n = max(n, h.inheritedFrontCount)
-	}
-	if n != h.frontCount {
-		h.frontCount, h.persistedFrontCount = n, n
-		h.writeRecord(records.KeyFrontCount, n, nil)
+// addTable adds the endpoint table's stamp, and the change of the table unless
+// the watcher wants none. It reports whether the table changed.
+func (w *watchHandler) addTable(response *nodeapi.WatchResponse, request nodeapi.WatchRequest) bool {
+	tables := w.server.tables
+	if tables.current == nil {
+		return false
 	}
-	return n
-}
-
-// frontsAround counts the known fronts in a zone and in its region; it runs on the desk.
-func (h *Server) frontsAround(zone string) (region, here int) {
-	zones := h.host.Settings().Zones
-	for _, k := range h.knownFronts {
-		if zones[k.zone] == zones[zone] {
-			region++
-		}
-		if k.zone == zone {
-			here++
-		}
+	response.Stamp = tables.current.Stamp
+	if !request.Stamp.Before(response.Stamp) {
+		return false
 	}
-	return region, here
-}
-
-// waitFrontsHold waits until every front that was heard lately holds slot, at most for the time given.
-func (h *Server) waitFrontsHold(slot int64, within time.Duration) {
-	end := time.Now().Add(within)
-	for time.Now().Before(end) {
-		missing := false
-		h.loop.Call(func() {
-			now := h.host.Now()
-			for _, f := range h.fronts {
-				if f.slot < slot && now < f.overdueAt {
-					missing = true
-				}
-			}
-		})
-		if !missing {
-			return
-		}
-		time.Sleep(within / 25)
+	if !request.OmitTable && !request.Locate {
+		response.Delta = tables.delta(request.Stamp)
 	}
+	return true
 }
 
-// packedVersion is an answer that is the same for all who hold one version.
-type packedVersion struct {
-	response nodeapi.VersionResponse
-	body     []byte
-}
-
-// versionResponse gives the newest configuration, or the difference to the one held; it runs on the desk.
-func (h *Server) versionResponse(m nodeapi.VersionRequest) (nodeapi.VersionResponse, []byte) {
-	p, ok := h.packedVersions[m.Version]
-	if !ok {
-		raw := []byte(h.acceptor.State.Body)
-		for _, b := range h.pastBodies {
-			if b.Version != m.Version {
-				continue
-			}
-			if d, ok := config.Diff([]byte(b.Body), raw); ok {
-				p.response.BaseVersion, p.response.Removed, raw = m.Version, d.Removed, d.Changes
-			}
-		}
-		p.body = codec.Gzip(raw)
-		if len(h.packedVersions) < 2*maxPastBodies {
-			h.packedVersions[m.Version] = p
+// controlNodes lists the voters' nodes with their zones.
+func (w *watchHandler) controlNodes(state consensus.State) (nodes []nodeapi.ControlNode) {
+	settings := w.server.host.Settings()
+	for _, voter := range state.Voters {
+		zone := w.server.peers.byIP[voter.IP].zone
+		if voter.IP == settings.IpAddress {
+			zone = settings.Zone
 		}
+		nodes = append(nodes, nodeapi.ControlNode{IP: voter.IP, Zone: zone})
 	}
-	p.response.Slot, p.response.Version, p.response.AgeMs = h.acceptor.State.Slot, h.acceptor.State.Version, (h.host.Now() - h.versionLearnedAt).Milliseconds()
-	return p.response, p.body
+	return nodes
 }
