--- a/internal/host/options.go
+++ b/internal/host/options.go
@@ -7,8 +7,8 @@
 )
 
 // Options are the project's defaults that an operator may change on the
-// command line. Each field has a flag of the same name in kebab case. All
-// numbers but MaxSlotHolders and SlotLeaseHeartbeats are ratios.
+// command line. Each field but Role and Rollout has a flag of the same name in
+// kebab case. All numbers but MaxSlotHolders and SlotLeaseHeartbeats are ratios.
 type Options struct {
 	// Role is what the node is started as.
 	Role Role
