--- a/internal/front/layout_controller.go
+++ b/internal/front/layout_controller.go
@@ -101,7 +101,7 @@
 	switched, ready := c.layouts.Tick(c.host.Now())
 	freed := c.layouts.TakeFreed()
 	for _, slot := range freed {
-		events.Log(events.SlotFreed, "shard", slot.Shard, "searcher", slot.Endpoint, "why", slot.Reason)
+		events.Log(events.SlotFreed, "shard", slot.Shard, "searcher", slot.EndpointID, "why", slot.Reason)
 	}
 	if switched {
 		events.Log(events.LayoutSwitched, "from", previous, "to", c.layouts.Current.Version, "ready", ready)
