--- a/internal/consensus/model_trace_test.go
+++ b/internal/consensus/model_trace_test.go
@@ -134,7 +134,7 @@
 // The traces are the planted faults' shortest ones, and those of faults that
 // were found and repaired.
 func TestModelTraces(t *testing.T) {
-	tracetest.PlayIn(t, "testdata/model", minModelTraces, func() func([]string) error {
+	tracetest.PlayDir(t, "testdata/model", minModelTraces, func() func([]string) error {
 		return new(tracePlayer).step
 	})
 }
