--- /dev/null
+++ b/internal/frontend/cached_route.go
@@ -0,0 +1,127 @@
+package frontend
+
+import (
+	"hash/fnv"
+	"net/http"
+	"time"
+
+	"swiftswitch/internal/cache"
+)
+
+const (
+	// maxFetches is how many fetches one request waits for, one after the other.
+	maxFetches = 4
+	// refetchTimeDivisor: a request joins another fetch after one that timed
+	// out only with more than this part of the latency target left.
+	refetchTimeDivisor = 8
+)
+
+// serveCached answers a request on a cached route by an object: one of the
+// front's own cache, or one that is fetched. Requests for one object share its
+// fetch; the first carries it out.
+func (h *Handler) serveCached(e *exchange) bool {
+	route := e.route
+	service := route.PickService(hashPoint(e.request.Host + e.request.Target))
+	key := cache.Key(e.request.Host, e.request.Target)
+	for n := 0; ; n++ {
+		object, fetch, isFirst := h.cache.lookupOrJoin(key, route.CacheLifetime, route.SplitsTo)
+		if object != nil {
+			h.writeObject(e, object)
+			return false
+		}
+		left := time.Until(e.deadlines.HardDeadline)
+		if left <= 0 || n >= maxFetches {
+			return h.reject(e, rejectFetchTimedOut)
+		}
+		if isFirst {
+			request := fetchRequest(e, service, left)
+			go func() { h.cache.finish(key, fetch, h.cache.fetcher.Fetch(request), route.CacheLifetime) }()
+		}
+		if reason, ok := h.awaitFetch(fetch, left); !ok {
+			return h.reject(e, reason)
+		}
+		if h.writeFetchResult(e, &fetch.result, isFirst) {
+			return false
+		}
+	}
+}
+
+func fetchRequest(e *exchange, service string, left time.Duration) FetchRequest {
+	return FetchRequest{
+		Host:          e.request.Host,
+		Target:        e.request.Target,
+		Service:       service,
+		Weight:        fetchWeight(e.route.Priority),
+		TimeLeft:      left,
+		TargetLatency: e.route.TargetLatency,
+		IsRetry:       e.elapsed > 0,
+	}
+}
+
+// awaitFetch waits for a fetch to end; ok is false if the request must be
+// rejected before.
+func (h *Handler) awaitFetch(fetch *sharedFetch, left time.Duration) (reason rejection, ok bool) {
+	timer := time.NewTimer(left)
+	defer timer.Stop()
+	select {
+	case <-fetch.done:
+		return 0, true
+	case <-timer.C:
+		return rejectFetchTimedOut, false
+	case <-h.cancelWaiting:
+		return rejectDraining, false
+	}
+}
+
+// writeFetchResult answers by the result of a fetch. It returns false, without
+// an answer, if the result does not hold for this request, which then looks
+// for the object again.
+func (h *Handler) writeFetchResult(e *exchange, result *FetchResult, isFirst bool) (written bool) {
+	switch {
+	case result.Object != nil:
+		return h.writeFetchedObject(e, result.Object)
+	case result.PassThrough != nil:
+		writePassThrough(e, result.PassThrough)
+		return true
+	}
+	isRejected := result.Status == http.StatusServiceUnavailable && result.RetryAfter > 0
+	switch {
+	case isRejected && e.elapsed > 0 && !isFirst:
+		// The fetch was rejected for another client that came for the first
+		// time; this one retries, and is not rejected for the same wait.
+		return false
+	case isRejected:
+		h.rejectFetch(e, result.RetryAfter)
+	case result.Status == http.StatusGatewayTimeout && !isFirst && time.Until(e.deadlines.HardDeadline) > e.route.TargetLatency/refetchTimeDivisor:
+		// The client that the fetch was for had less time than this one.
+		return false
+	case result.Status == http.StatusServiceUnavailable, result.Status == http.StatusGatewayTimeout:
+		// As far as is known no endpoint was asked.
+		h.reject(e, rejectFetchUnavailable)
+	default:
+		h.reject(e, rejectFetchFailed)
+	}
+	return true
+}
+
+// writeFetchedObject answers by an object, unless a purge invalidated it on its
+// way. A route without a lifetime serves it to all who waited for it.
+func (h *Handler) writeFetchedObject(e *exchange, object *cache.Object) (written bool) {
+	route := e.route
+	if !h.cache.Usable(object, max(route.CacheLifetime, 0), route.SplitsTo) && route.CacheLifetime > 0 {
+		return false
+	}
+	h.writeObject(e, object)
+	return true
+}
+
+// fetchWeight is the weight of a request in the order of the fetch queue; 0 is
+// the highest priority.
+func fetchWeight(priority int) float64 { return 1 / float64(1+max(0, priority)) }
+
+// hashPoint maps a name to a point in [0, 1), the same on all nodes.
+func hashPoint(name string) float64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name))
+	return float64(hash.Sum64()>>11) / (1 << 53)
+}
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,4 +1,7 @@
-// Package trailhead is where clients arrive: the listener, the chain of
-// filters a request passes, readiness, the drain at the end and the refusals
-// under load. In the field's terms: the ingress of a reverse proxy.
+// Package frontend implements the HTTP handler of a front. A request passes a
+// chain of filters, which pin it to a snapshot of the configuration, validate
+// it, match its route, set its deadlines and at last forward it: to one
+// endpoint, to all shards of a route, or to the cache. Under overload the
+// handler sheds requests by priority, and while the node drains it lets those
+// in flight end.
 package frontend
--- /dev/null
+++ b/internal/frontend/forward.go
@@ -0,0 +1,103 @@
+package frontend
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"swiftswitch/internal/scatter"
+)
+
+const (
+	// shedPerPriority is by how much each step of lower priority reduces the
+	// load above which requests are rejected, down to maxShedPriority.
+	shedPerPriority = 0.15
+	maxShedPriority = 4
+)
+
+// forward sends the request on and writes the response. It is the last filter.
+func (h *Handler) forward(e *exchange) bool {
+	if h.cache != nil && isCacheable(e) {
+		return h.serveCached(e)
+	}
+	policy, shards := h.plan(e)
+	if h.isOverloaded(shards, h.overloadFactor(e)) {
+		return h.reject(e, rejectOverloaded)
+	}
+	query := scatter.NewQuery(policy, shards)
+	defer query.Release()
+	succeeded := h.gatherer.Gather(query, e.request, e.deadlines, h.relayFor(e))
+	h.writeResult(e, query, succeeded)
+	return false
+}
+
+// isCacheable tells whether a request may be answered by a cached object.
+func isCacheable(e *exchange) bool {
+	method := e.request.Method
+	return e.route.Cacheable && (method == http.MethodGet || method == http.MethodHead) && !e.request.HasBody()
+}
+
+// plan returns the request's parts: one for each shard of a gathered route, or
+// one to a service of the route.
+func (h *Handler) plan(e *exchange) (scatter.Policy, []*scatter.ShardRequest) {
+	route := e.route
+	policy := scatter.Policy{
+		MaxAttempts:       route.MaxAttempts,
+		Idempotent:        route.Idempotent,
+		MinShare:          1,
+		LateResponseValue: h.options.LateResponseValue,
+	}
+	if len(route.Shards) == 0 {
+		service := route.PickService(rand.Float64())
+		return policy, []*scatter.ShardRequest{serviceRequest(service, h.chooseVersion(e.snapshot, service))}
+	}
+	policy.MinShare = route.MinShare
+	var shards []*scatter.ShardRequest
+	for _, shard := range route.Shards {
+		shards = append(shards, e.snapshot.shardRequest(shard, h.chooseVersion(e.snapshot, shard)))
+	}
+	return policy, shards
+}
+
+// overloadFactor returns the load of an endpoint, as a multiple of its slots,
+// above which the request is rejected. The lower its priority, the sooner; and
+// one that is late already makes room for those that can be in time.
+func (h *Handler) overloadFactor(e *exchange) float64 {
+	priority := min(e.route.Priority, maxShedPriority)
+	factor := h.options.OverloadFactor * (1 - shedPerPriority*float64(priority))
+	if e.elapsed >= e.route.TargetLatency {
+		factor *= h.options.LateResponseValue
+	}
+	return factor
+}
+
+// isOverloaded tells whether more than half of the parts would wait in a long
+// queue. Then the request is better rejected before any part of it runs.
+func (h *Handler) isOverloaded(shards []*scatter.ShardRequest, factor float64) bool {
+	n := 0
+	for _, shard := range shards {
+		if h.gatherer.Upstream.Overloaded(shard.Selector(), factor) {
+			n++
+		}
+	}
+	return 2*n > len(shards)
+}
+
+// writeResult answers the client by what came of its request.
+func (h *Handler) writeResult(e *exchange, query *scatter.Query, succeeded bool) {
+	isGathered := len(e.route.Shards) > 0
+	switch {
+	case succeeded && isGathered:
+		writeMerged(e, query)
+	case succeeded:
+		h.writeAttempt(e, &query.Shards[0].Answer)
+	case !isGathered && query.Shards[0].CanForwardFailure():
+		h.writeAttempt(e, &query.Shards[0].LastFailure)
+	case !query.MayHaveRun():
+		h.reject(e, rejectNoEndpoint)
+	case !time.Now().Before(e.deadlines.HardDeadline):
+		h.reject(e, rejectTimedOut)
+	default:
+		h.reject(e, rejectNoWholeResponse)
+	}
+}
--- /dev/null
+++ b/internal/frontend/handler.go
@@ -0,0 +1,154 @@
+package frontend
+
+import (
+	"context"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/upstream"
+
+	"github.com/cloudwego/hertz/pkg/app"
+)
+
+// Options configure a Handler.
+type Options struct {
+	// PartialResponseAfter is the part of the latency target after which a
+	// partial response is weighed against waiting for the missing shards.
+	PartialResponseAfter float64
+	// GiveUpAfter is the part of the client's time after which a response
+	// could not reach it any more.
+	GiveUpAfter float64
+	// LateResponseValue is the value of a response after the latency target,
+	// relative to one in time.
+	LateResponseValue float64
+	// RetryAfterRatio, a part of the latency target, is when a rejected client
+	// is asked to come back, on average.
+	RetryAfterRatio float64
+	// WriteTimeout bounds the writing of a response whose client waits no longer.
+	WriteTimeout time.Duration
+	// OverloadFactor, a multiple of its slots, is how many requests an
+	// endpoint may have before those of the highest priority are rejected.
+	OverloadFactor float64
+	// StartupWait is how long a request waits for the first snapshot.
+	StartupWait time.Duration
+	// Clock returns the monotonic time and how long ago the node had contact
+	// with a majority of the voters. After MajorityTimeout without contact the
+	// node sends no requests to versions that are not settled.
+	Clock           func() (now, silence time.Duration)
+	MajorityTimeout time.Duration
+}
+
+// Handler handles clients' requests. Its methods may be called from any
+// goroutine, except that SetRelays and SetCacheHandler must precede the first
+// request.
+type Handler struct {
+	options  Options
+	gatherer *scatter.Gatherer
+	filters  []filter
+
+	snapshot atomic.Pointer[Snapshot]
+	// hasSnapshot is closed with the first snapshot.
+	hasSnapshot chan struct{}
+
+	draining atomic.Bool
+	// cancelWaiting is closed when a draining node answers the requests that
+	// still wait for a fetch.
+	cancelWaiting chan struct{}
+	inFlight      atomic.Int64
+	relayed       atomic.Int64
+
+	// longestDeadlines holds, by route, the longest time in milliseconds that
+	// a client came with.
+	longestDeadlines sync.Map
+
+	// relays is nil if requests are not relayed by fronts of other zones.
+	relays    *relay.Balancer
+	callRelay RelayCaller
+	// cache is nil if cached routes are forwarded like others.
+	cache *CacheHandler
+}
+
+// New returns a handler without a snapshot; until it has one it rejects
+// requests.
+func New(options Options, gatherer *scatter.Gatherer) *Handler {
+	h := &Handler{
+		options:       options,
+		gatherer:      gatherer,
+		hasSnapshot:   make(chan struct{}),
+		cancelWaiting: make(chan struct{}),
+	}
+	h.filters = []filter{h.pinSnapshot, h.checkSize, h.parseRequest, h.matchRoute, h.setDeadlines, h.forward}
+	return h
+}
+
+// SetCacheHandler makes cached routes be served from the cache.
+func (h *Handler) SetCacheHandler(c *CacheHandler) { h.cache = c }
+
+// SetSnapshot puts a snapshot in force for the requests to come.
+func (h *Handler) SetSnapshot(s *Snapshot) {
+	if h.snapshot.Swap(s) == nil {
+		close(h.hasSnapshot)
+	}
+}
+
+// Snapshot returns the snapshot in force, nil before the first.
+func (h *Handler) Snapshot() *Snapshot { return h.snapshot.Load() }
+
+// Drain makes every further response the last on its connection.
+func (h *Handler) Drain() { h.draining.Store(true) }
+
+// CancelWaiting rejects the requests that wait for a fetch and were not sent
+// to an endpoint. It must be called once at most.
+func (h *Handler) CancelWaiting() { close(h.cancelWaiting) }
+
+// InFlight returns the number of requests under way.
+func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
+
+// exchange is a request and its response on their way through the filters. The
+// goroutine of its connection owns it.
+type exchange struct {
+	ctx       *app.RequestContext
+	start     time.Time
+	snapshot  *Snapshot
+	request   *upstream.Request
+	route     *routing.Route
+	deadlines scatter.Deadlines
+	// elapsed is how long ago, as far as is known, the client first asked.
+	elapsed time.Duration
+	// closeConnection: the connection ends with this response.
+	closeConnection bool
+}
+
+// Handle handles one request of the clients' listener.
+func (h *Handler) Handle(_ context.Context, c *app.RequestContext) {
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
+	e := &exchange{ctx: c, start: time.Now()}
+	for _, apply := range h.filters {
+		if !apply(e) {
+			break
+		}
+	}
+	h.finish(e)
+}
+
+// finish sets what ends the exchange on its connection.
+func (h *Handler) finish(e *exchange) {
+	if e.closeConnection || h.draining.Load() {
+		e.ctx.SetConnectionClose()
+	} else if e.snapshot != nil {
+		// A client that stops using the connection a second earlier sends no
+		// request just when the node closes it.
+		if idle := int(e.snapshot.RouteTable.Limits.IdleTimeout / time.Second); idle > 1 {
+			e.ctx.Response.Header.Set("Keep-Alive", "timeout="+strconv.Itoa(idle-1))
+		}
+	}
+	// A long response over a slow link may take as long as its client waits. A
+	// peer that is gone is noticed sooner, by the connection itself.
+	_ = e.ctx.GetConn().SetWriteTimeout(max(h.options.WriteTimeout, time.Until(e.deadlines.ShardDeadline)))
+}
--- a/internal/frontend/pantry_test.go
+++ b/internal/frontend/pantry_test.go
@@ -18,15 +18,15 @@
 		t.Fatal("a node that knows no purges serves a copy")
 	}
 	p.ApplyPurges(3, 0, nil)
-	_, fl, first := p.get(c.Key(), time.Minute, sends)
+	_, fl, first := p.lookupOrJoin(c.Key(), time.Minute, sends)
 	if !first {
 		t.Fatal("nobody fetches")
 	}
-	if _, other, again := p.get(c.Key(), time.Minute, sends); again || other != fl {
+	if _, other, again := p.lookupOrJoin(c.Key(), time.Minute, sends); again || other != fl {
 		t.Fatal("two fetch one object")
 	}
-	p.end(c.Key(), fl, FetchResult{Object: c}, time.Minute)
-	if got, _, _ := p.get(c.Key(), time.Minute, sends); got != c {
+	p.finish(c.Key(), fl, FetchResult{Object: c}, time.Minute)
+	if got, _, _ := p.lookupOrJoin(c.Key(), time.Minute, sends); got != c {
 		t.Fatal("the copy is not served")
 	}
 	if p.Usable(c, time.Minute, func(s string) bool { return s == "other" }) {
--- /dev/null
+++ b/internal/frontend/rejection.go
@@ -0,0 +1,112 @@
+package frontend
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"time"
+
+	"swiftswitch/internal/events"
+)
+
+// rejection is a reason why a request is answered without a response of an
+// endpoint.
+type rejection int
+
+const (
+	rejectNoConfiguration rejection = iota
+	rejectHeadersTooLarge
+	rejectBodyTooLarge
+	rejectMalformed
+	rejectNoRoute
+	rejectNoTimeLeft
+	rejectOverloaded
+	rejectNoEndpoint
+	rejectTimedOut
+	rejectNoWholeResponse
+	rejectFetchTimedOut
+	rejectFetchUnavailable
+	rejectFetchFailed
+	rejectDraining
+)
+
+// rejections tell how each reason is answered. 503 promises that no endpoint
+// processed the request; 502 and 504 do not. With 503 the client is told when
+// to come back.
+var rejections = [...]struct {
+	status  int
+	message string
+	// closesConnection: what follows on the connection can't be trusted, or
+	// was not read.
+	closesConnection bool
+	// event is logged, if there is one.
+	event events.Event
+}{
+	rejectNoConfiguration:  {status: http.StatusServiceUnavailable, message: "no configuration yet"},
+	rejectHeadersTooLarge:  {status: http.StatusRequestHeaderFieldsTooLarge, message: "headers too large", closesConnection: true},
+	rejectBodyTooLarge:     {status: http.StatusRequestEntityTooLarge, message: "body too large", closesConnection: true},
+	rejectMalformed:        {status: http.StatusBadRequest, message: "malformed request", closesConnection: true, event: events.RequestRejected},
+	rejectNoRoute:          {status: http.StatusNotFound, message: "no route"},
+	rejectNoTimeLeft:       {status: http.StatusServiceUnavailable, message: "no time left"},
+	rejectOverloaded:       {status: http.StatusServiceUnavailable, message: "all searchers are busy"},
+	rejectNoEndpoint:       {status: http.StatusServiceUnavailable, message: "no searcher can take this now"},
+	rejectTimedOut:         {status: http.StatusGatewayTimeout, message: "no answer in time"},
+	rejectNoWholeResponse:  {status: http.StatusBadGateway, message: "no whole answer"},
+	rejectFetchTimedOut:    {status: http.StatusServiceUnavailable, message: "no answer in time"},
+	rejectFetchUnavailable: {status: http.StatusServiceUnavailable, message: "the object could not be fetched"},
+	rejectFetchFailed:      {status: http.StatusBadGateway, message: "the object could not be fetched"},
+	rejectDraining:         {status: http.StatusServiceUnavailable, message: "this node leaves"},
+}
+
+// unknownRouteTarget stands for the latency target of a request whose route is
+// not known yet.
+const unknownRouteTarget = 100 * time.Millisecond
+
+// reject answers a request by a reason and ends the filter chain. details are
+// key/value pairs for the event.
+func (h *Handler) reject(e *exchange, reason rejection, details ...any) bool {
+	r := &rejections[reason]
+	if r.event != 0 {
+		events.Log(r.event, details...)
+	}
+	if r.closesConnection {
+		e.closeConnection = true
+	}
+	e.ctx.SetStatusCode(r.status)
+	e.ctx.Response.Header.SetContentType("text/plain")
+	e.ctx.Response.SetBodyString(r.message + "\n")
+	if isRetryable(r.status) {
+		target := unknownRouteTarget
+		if e.route != nil {
+			target = e.route.TargetLatency
+		}
+		h.setRetryAfterTarget(e, target)
+	}
+	return false
+}
+
+// rejectFetch answers a request whose object can't be fetched before
+// retryAfter.
+func (h *Handler) rejectFetch(e *exchange, retryAfter time.Duration) {
+	e.ctx.SetStatusCode(http.StatusServiceUnavailable)
+	e.ctx.Response.SetBodyString("the object can't be fetched now\n")
+	setRetryAfter(e, retryAfter)
+}
+
+// isRetryable tells whether a status says that the request was not processed
+// and may be sent again.
+func isRetryable(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+}
+
+// setRetryAfterTarget asks the client to come back after a part of the latency
+// target, with jitter: clients rejected together must not return together.
+func (h *Handler) setRetryAfterTarget(e *exchange, target time.Duration) {
+	jitter := 0.5 + rand.Float64()
+	setRetryAfter(e, time.Duration(float64(target)*h.options.RetryAfterRatio*jitter))
+}
+
+// setRetryAfter sets the header in seconds, as a decimal fraction.
+func setRetryAfter(e *exchange, after time.Duration) {
+	e.ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+}
--- /dev/null
+++ b/internal/frontend/relay.go
@@ -0,0 +1,143 @@
+package frontend
+
+import (
+	"time"
+
+	"swiftswitch/internal/relay"
+	"swiftswitch/internal/routing"
+	"swiftswitch/internal/scatter"
+	"swiftswitch/internal/upstream"
+)
+
+// RelayCaller sends a relay request to the front with an IP.
+type RelayCaller func(ip string, request relay.Request, response *relay.Response, timeout time.Duration) error
+
+const (
+	// minRelayedShards is the least number of shards of a route whose requests
+	// are relayed: one shard needs one call to another zone anyway.
+	minRelayedShards = 2
+	// relayTimeoutFactor, a multiple of the wait asked for, bounds a relay call.
+	relayTimeoutFactor = 3
+)
+
+// SetRelays lets gathered requests be relayed by fronts of other zones.
+func (h *Handler) SetRelays(relays *relay.Balancer, call RelayCaller) {
+	h.relays, h.callRelay = relays, call
+}
+
+// exchangeRelay relays one client's request. It implements scatter.Relay.
+type exchangeRelay struct {
+	handler  *Handler
+	exchange *exchange
+}
+
+// relayFor returns nil if the request may not be relayed.
+func (h *Handler) relayFor(e *exchange) scatter.Relay {
+	if h.relays == nil || len(e.route.Shards) < minRelayedShards || !e.request.IsGetWithoutBody() {
+		return nil
+	}
+	return exchangeRelay{h, e}
+}
+
+// Pick picks a front of a zone and returns the call to it.
+func (r exchangeRelay) Pick(zone string) (scatter.RelayCall, bool) {
+	front := r.handler.relays.Pick(zone, time.Now())
+	if front == nil {
+		return nil, false
+	}
+	// The call may outlive the exchange: it must not refer to it.
+	h, request := r.handler, r.exchange.request
+	version, deadline := r.exchange.snapshot.RouteTable.Version, r.exchange.deadlines.ShardDeadline
+	return func(shards []int, wait time.Duration) (stamps []string, records []byte) {
+		left := time.Until(deadline)
+		message := relay.Request{
+			Version:     version,
+			Shards:      shards,
+			Head:        request.Head(),
+			RemainingMs: left.Milliseconds(),
+			WaitMs:      wait.Milliseconds(),
+		}
+		var response relay.Response
+		err := h.callRelay(front.IP, message, &response, min(left, relayTimeoutFactor*wait))
+		h.relays.Done(front.IP, err == nil, time.Now())
+		if err != nil || len(response.Stamps) != len(shards) || len(response.Records)%scatter.RecordSize != 0 {
+			return make([]string, len(shards)), nil
+		}
+		return response.Stamps, response.Records
+	}, true
+}
+
+// HandleRelay gathers some shards for a front in another zone. It makes one
+// attempt at each and answers with what is in when the wait is over; ok is
+// false if this node does not hold the same version of the configuration.
+func (h *Handler) HandleRelay(message relay.Request) (response relay.Response, ok bool) {
+	start := time.Now()
+	snapshot := h.snapshot.Load()
+	if snapshot == nil || h.draining.Load() || snapshot.RouteTable.Version != message.Version || message.RemainingMs <= 0 || len(message.Shards) == 0 {
+		return relay.Response{}, false
+	}
+	request, ok := upstream.NewRelayedRequest(message.Head)
+	if !ok {
+		return relay.Response{}, false
+	}
+	route := snapshot.RouteTable.Match(request.Host, request.Target)
+	if route == nil {
+		return relay.Response{}, false
+	}
+	shards, ok := h.relayedShards(snapshot, route, message.Shards)
+	if !ok {
+		return relay.Response{}, false
+	}
+	request.Route, request.LatencyTarget = route.Name, route.TargetLatency
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
+	h.relayed.Add(1)
+	query := scatter.NewQuery(scatter.Policy{MaxAttempts: 1, Idempotent: true, Relayed: true}, shards)
+	defer query.Release()
+	h.gatherer.Gather(query, request, relayDeadlines(start, route, &message), nil)
+	return relayResponse(query, route.TopRecords), true
+}
+
+// relayedShards returns the parts of a request for the shards at these
+// positions of the route's list.
+func (h *Handler) relayedShards(snapshot *Snapshot, route *routing.Route, positions []int) (shards []*scatter.ShardRequest, ok bool) {
+	for _, i := range positions {
+		if i < 0 || i >= len(route.Shards) {
+			return nil, false
+		}
+		shard := route.Shards[i]
+		shards = append(shards, snapshot.shardRequest(shard, h.chooseStableVersion(snapshot, shard)))
+	}
+	return shards, true
+}
+
+// relayDeadlines end the gathering when the asking front needs the answer,
+// which may be before the client's time is over.
+func relayDeadlines(start time.Time, route *routing.Route, message *relay.Request) scatter.Deadlines {
+	left := time.Duration(message.RemainingMs) * time.Millisecond
+	wait := min(left, time.Duration(message.WaitMs)*time.Millisecond)
+	return scatter.Deadlines{
+		Start:         start,
+		TargetLatency: route.TargetLatency,
+		SoftDeadline:  start.Add(wait),
+		HardDeadline:  start.Add(wait),
+		ShardDeadline: start.Add(left),
+	}
+}
+
+// relayResponse merges the shards that answered.
+func relayResponse(query *scatter.Query, topRecords int) relay.Response {
+	response := relay.Response{Stamps: make([]string, len(query.Shards))}
+	var bodies [][]byte
+	for i, shard := range query.Shards {
+		if shard.Answered() {
+			response.Stamps[i] = shard.Answer.Stamp
+			bodies = append(bodies, shard.Answer.Records())
+		}
+	}
+	response.Records = scatter.Merge(bodies, topRecords)
+	return response
+}
+
+// Relayed returns the number of requests relayed for other fronts.
+func (h *Handler) Relayed() int64 { return h.relayed.Load() }
