--- a/internal/control/drain_test.go
+++ b/internal/control/drain_test.go
@@ -10,10 +10,50 @@
 
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/node"
 	"swiftswitch/internal/nodeapi"
 	"swiftswitch/internal/testcluster"
 )
 
+// drainChanges is what became of the changes that were sent to node 3 while it drained.
+type drainChanges struct {
+	taken, refused int
+	// retryAfter is the header of the last refusal.
+	retryAfter string
+	drainTook  time.Duration
+}
+
+// changeUntilDrained has node 3 drain and sends it changes, one after the
+// other, until it has.
+func changeUntilDrained(w *testcluster.Cluster, n *node.Node) (changes drainChanges) {
+	done := make(chan time.Duration)
+	go func() {
+		at := time.Now()
+		n.Drain()
+		done <- time.Since(at)
+	}()
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	for {
+		select {
+		case changes.drainTook = <-done:
+			return changes
+		default:
+		}
+		request, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090/-/configuration", w.IP(3)), strings.NewReader("{"))
+		response, err := client.Do(request)
+		if err != nil {
+			continue
+		}
+		_ = response.Body.Close()
+		if response.StatusCode == 503 && n.Control().Closing() {
+			changes.refused++
+			changes.retryAfter = response.Header.Get("Retry-After")
+		} else {
+			changes.taken++
+		}
+	}
+}
+
 // The node that drains holds the only copies: the newest table, the count of
 // fronts and, once another disk is lost right after, of a value that a majority
 // accepted, so that it may be acknowledged, and whose outcome nobody knows. A
@@ -40,35 +80,14 @@
 	})
 	n := w.Nodes["3"]
 	delete(w.Nodes, "3")
-	var refused, taken int
-	var retry string
-	done := make(chan time.Duration)
-	go func() { at := time.Now(); n.Drain(); done <- time.Since(at) }()
-	var took time.Duration
-	for took == 0 {
-		select {
-		case took = <-done:
-		default:
-			req, _ := http.NewRequest("PUT", fmt.Sprintf("http://%s:8090/-/configuration", w.IP(3)), strings.NewReader("{"))
-			resp, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
-			if err != nil {
-				continue
-			}
-			resp.Body.Close()
-			if resp.StatusCode == 503 && n.Control().Closing() {
-				refused, retry = refused+1, resp.Header.Get("Retry-After")
-			} else {
-				taken++
-			}
-		}
-	}
+	changes := changeUntilDrained(w, n)
 	// The last loss, in this very moment.
 	w.WipeDisk(1)
-	if took > time.Second {
-		t.Errorf("the drain took %v", took)
+	if changes.drainTook > time.Second {
+		t.Errorf("the drain took %v", changes.drainTook)
 	}
-	if refused == 0 || taken == 0 || retry == "" {
-		t.Errorf("changes: %d taken, %d refused, Retry-After %q", taken, refused, retry)
+	if changes.refused == 0 || changes.taken == 0 || changes.retryAfter == "" {
+		t.Errorf("changes: %d taken, %d refused, Retry-After %q", changes.taken, changes.refused, changes.retryAfter)
 	}
 	// It knows the outcome of the value before it is gone.
 	h.Loop().Call(func() {
