--- a/internal/scatter/bench_test.go
+++ b/internal/scatter/bench_test.go
@@ -11,9 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/panjf2000/ants/v2"
 	"swiftswitch/internal/endpoints"
-	"swiftswitch/internal/ratelimit"
 	"swiftswitch/internal/upstream"
 )
 
@@ -43,28 +41,13 @@
 func newLoopbackGatherer(b *testing.B, n int) *Gatherer {
 	b.Helper()
 	addr := listen(b)
-	workers, err := ants.NewPool(4096, ants.WithNonblocking(true))
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(workers.Release)
-	pool := upstream.New(upstream.Options{
-		Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
-		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: time.Second,
-	})
-	table := &endpoints.Table{}
+	var list []endpoints.Endpoint
 	for i := range n {
-		table.Endpoints = append(table.Endpoints, endpoints.Endpoint{
+		list = append(list, endpoints.Endpoint{
 			ID: fmt.Sprint("i", i), Service: fmt.Sprint("s", i), Addr: addr, Slots: 2, Ordinal: int64(i),
 		})
 	}
-	pool.SetTable(table)
-	started := time.Now()
-	return &Gatherer{
-		Upstream: pool, Workers: workers, HedgeAfter: 5,
-		RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Ratio: 1, Window: time.Second}, 0),
-		Now:         func() time.Duration { return time.Since(started) },
-	}
+	return newGatherer(b, 1, list...)
 }
 
 // gatherOnce carries request number k out, all shards of which must answer.
@@ -74,10 +57,7 @@
 	for i := range n {
 		shards = append(shards, &ShardRequest{Service: fmt.Sprint("s", i)})
 	}
-	request, err := upstream.NewRequest("GET", "/x", []byte(fmt.Sprintf("Host: a\r\nSwiftswitch-Request-Id: r%d\r\n", k)), nil)
-	if err != nil {
-		b.Fatal(err)
-	}
+	request := newRequest(b, fmt.Sprint("r", k))
 	now := time.Now()
 	q := NewQuery(Policy{MaxAttempts: 2, Idempotent: true, MinShare: 1}, shards)
 	defer q.Release()
@@ -146,7 +126,7 @@
 }
 
 // listen returns the address of a stand-in for all searchers.
-func listen(b *testing.B) (addr string) {
+func listen(b testing.TB) (addr string) {
 	b.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/scatter/decision.go
+++ b/internal/scatter/decision.go
@@ -28,8 +28,8 @@
 
 // Decide says how the query stands. It succeeds before its soft deadline only
 // when nothing more can come. After it, a partial answer is weighed: it is
-// worth the square of its share, and waiting for the rest pays as long as that
-// is below the worth of a late whole answer.
+// valued at the square of its share, and waiting for the rest pays as long as
+// that is below the value of a late complete answer.
 func (q *Query) Decide(phase Phase) Decision {
 	switch {
 	case q.open == 0 || phase == AfterHardDeadline:
--- a/internal/scatter/doc.go
+++ b/internal/scatter/doc.go
@@ -7,8 +7,8 @@
 //
 //   - [Query] is a pure state machine. It holds what is known of each shard
 //     and decides what may be sent, when an attempt is hedged and when the
-//     request is over. It knows no clock, no connection and no goroutine, so
-//     recorded traces (testdata) cover it whole.
+//     request is over. It has no clock, no connection and no goroutine; recorded
+//     traces (testdata) play it.
 //   - [Gatherer] drives a Query: it picks endpoints, withdraws retries from
 //     the retry budget, runs each attempt on a worker and feeds the results
 //     back. One goroutine, that of [Gatherer.Gather], owns the Query; workers
--- /dev/null
+++ b/internal/scatter/gatherer_test.go
@@ -0,0 +1,128 @@
+package scatter
+
+import (
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/panjf2000/ants/v2"
+	"swiftswitch/internal/endpoints"
+	"swiftswitch/internal/ratelimit"
+	"swiftswitch/internal/upstream"
+)
+
+// newGatherer returns a gatherer for the endpoints of a table.
+func newGatherer(t testing.TB, ratio float64, list ...endpoints.Endpoint) *Gatherer {
+	t.Helper()
+	workers, err := ants.NewPool(4096, ants.WithNonblocking(true))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(workers.Release)
+	pool := upstream.New(upstream.Options{
+		Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
+		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: time.Second,
+	})
+	pool.SetTable(&endpoints.Table{Endpoints: list})
+	started := time.Now()
+	return &Gatherer{
+		Upstream: pool, Workers: workers, HedgeAfter: 5,
+		RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Ratio: ratio, Window: time.Minute, Utilization: 1}, 0),
+		Now:         func() time.Duration { return time.Since(started) },
+	}
+}
+
+func newRequest(t testing.TB, id string) *upstream.Request {
+	t.Helper()
+	request, err := upstream.NewRequest("GET", "/x", []byte("Host: a\r\nSwiftswitch-Request-Id: "+id+"\r\n"), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return request
+}
+
+// deadlinesFrom bounds a request that starts now.
+func deadlinesFrom(target, hard time.Duration) Deadlines {
+	now := time.Now()
+	return Deadlines{Start: now, TargetLatency: target, SoftDeadline: now.Add(hard), HardDeadline: now.Add(hard), ShardDeadline: now.Add(hard)}
+}
+
+// listenSilently returns the address of a listener that never answers.
+func listenSilently(t testing.TB) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener.Addr().String()
+}
+
+// An endpoint that does not answer is hedged at another one, if the retry
+// budget grants it.
+func TestHedge(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		ratio float64
+		want  bool
+	}{
+		{"the budget grants it", 1, true},
+		{"the budget refuses it", 0, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			g := newGatherer(t, test.ratio,
+				endpoints.Endpoint{ID: "silent", Service: "s", Addr: listenSilently(t), Slots: 2, Ordinal: 1},
+				endpoints.Endpoint{ID: "answers", Service: "s", Addr: listen(t), Slots: 2, Ordinal: 2})
+			g.HedgeAfter = 0.1
+			shard := &ShardRequest{Service: "s", Canary: &upstream.Selector{Service: "s", IDs: []string{"silent"}}}
+			q := NewQuery(Policy{MaxAttempts: 2, Idempotent: true, MinShare: 1}, []*ShardRequest{shard})
+			defer q.Release()
+			if got := g.Gather(q, newRequest(t, "r"), deadlinesFrom(100*time.Millisecond, time.Second), nil); got != test.want {
+				t.Fatalf("succeeded: %v", got)
+			}
+			if test.want && shard.Answer.Endpoint.ID != "answers" {
+				t.Fatalf("answered by %s", shard.Answer.Endpoint.ID)
+			}
+			if g.RetryBudget.TryWithdraw("s", g.Now()) {
+				t.Fatal("the hedge was not withdrawn from the budget")
+			}
+		})
+	}
+}
+
+// A query without endpoints is decided at once, and nothing of it has run.
+func TestGatherWithoutEndpoints(t *testing.T) {
+	g := newGatherer(t, 1)
+	q := NewQuery(Policy{MaxAttempts: 2, Idempotent: true, MinShare: 1}, []*ShardRequest{{Service: "s"}})
+	start := time.Now()
+	if g.Gather(q, newRequest(t, "r"), deadlinesFrom(time.Minute, time.Minute), nil) {
+		t.Fatal("it succeeded")
+	}
+	if q.MayHaveRun() || time.Since(start) > 10*time.Second {
+		t.Fatalf("may have run: %v, after %v", q.MayHaveRun(), time.Since(start))
+	}
+}
+
+// A relayed call for no shards says nothing of any shard.
+func TestRelayedCallForNoShards(t *testing.T) {
+	q := NewQuery(Policy{MaxAttempts: 2, Idempotent: true, MinShare: 1}, []*ShardRequest{{Service: "s"}})
+	q.OnSent(0, &upstream.Endpoint{})
+	(&run{}).onResult(q, &result{relayed: &relayResult{}})
+	if got := q.inFlight(); got != 1 {
+		t.Fatalf("%d attempts in flight", got)
+	}
+}
+
+func TestPhase(t *testing.T) {
+	start := time.Now()
+	d := Deadlines{SoftDeadline: start.Add(10), HardDeadline: start.Add(20)}
+	var got []Phase
+	for _, after := range []time.Duration{0, 9, 10, 19, 20} {
+		got = append(got, d.phase(start.Add(after)))
+	}
+	want := []Phase{BeforeSoftDeadline, BeforeSoftDeadline, AfterSoftDeadline, AfterSoftDeadline, AfterHardDeadline}
+	if !slices.Equal(got, want) {
+		t.Fatalf("phases %v, want %v", got, want)
+	}
+}
--- a/internal/scatter/policy.go
+++ b/internal/scatter/policy.go
@@ -1,7 +1,5 @@
 package scatter
 
-import "time"
-
 // Policy says what a request may cost and what its answer must bring.
 type Policy struct {
 	// MaxAttempts bounds the attempts of one shard, the first included.
@@ -9,47 +7,13 @@
 	// Idempotent requests may run more than once: they are hedged, and retried
 	// after an attempt that may have run.
 	Idempotent bool
-	// MinShare is the share of the shards, in (0, 1], without which the request fails.
+	// MinShare is the share of the shards, in [0, 1], without which the request
+	// fails. It also fails if no shard answered.
 	MinShare float64
-	// LateResponseValue is what an answer after the soft deadline is worth
-	// beside one before it, in [0, 1].
+	// LateResponseValue is the value of an answer after the soft deadline,
+	// in [0, 1], where one before it has the value 1.
 	LateResponseValue float64
 	// Relayed marks a request that another front counts and retries: this one
 	// gathers some shards for it and deposits nothing into the retry budget.
 	Relayed bool
 }
-
-// Deadlines bound one request in time.
-type Deadlines struct {
-	// Start is when the request arrived; hedges count from it.
-	Start time.Time
-	// TargetLatency is the latency that the route aims at.
-	TargetLatency time.Duration
-	// SoftDeadline is when the value of an answer begins to fall: from then on
-	// a partial answer is weighed against waiting.
-	SoftDeadline time.Time
-	// HardDeadline is when the request is decided with what has arrived.
-	HardDeadline time.Time
-	// ShardDeadline is the deadline that endpoints are given. Attempts that
-	// lost run on until then.
-	ShardDeadline time.Time
-}
-
-// phase says which deadlines have passed at now.
-func (d *Deadlines) phase(now time.Time) Phase {
-	switch {
-	case !now.Before(d.HardDeadline):
-		return AfterHardDeadline
-	case !now.Before(d.SoftDeadline):
-		return AfterSoftDeadline
-	}
-	return BeforeSoftDeadline
-}
-
-// next is the first deadline that has not passed in a phase.
-func (d *Deadlines) next(p Phase) time.Time {
-	if p == BeforeSoftDeadline {
-		return d.SoftDeadline
-	}
-	return d.HardDeadline
-}
--- a/internal/scatter/relay_result.go
+++ b/internal/scatter/relay_result.go
@@ -7,7 +7,7 @@
 // parts that are in. valid is false where nothing of the result can be used: a
 // stamp occurs twice, or is that of another shard's answer.
 //
-// The records of the shards can't be told apart. So where a hedge of one of
+// The records do not say which shard they are of. So where a hedge of one of
 // them has answered in the meantime, its answer is dropped for the relayed one:
 // both would count the shard's records twice.
 //
