--- /dev/null
+++ b/internal/frontend/cached_route_test.go
@@ -0,0 +1,77 @@
+package frontend
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"swiftswitch/internal/cache"
+)
+
+// testFetcher fetches objects whose bytes all are the last letter of their
+// target. Those without a size are missing.
+type testFetcher struct{ sizes map[string]int }
+
+// missingBytes is the size of the answer that an object is missing.
+const missingBytes = 9000
+
+func (f testFetcher) Fetch(request FetchRequest) FetchResult {
+	time.Sleep(5 * time.Millisecond)
+	name := request.Target[len(request.Target)-1:]
+	body := []byte(strings.Repeat(name, f.sizes[name]))
+	if len(body) == 0 {
+		return FetchResult{PassThrough: &cache.PassThrough{Status: 404, Body: []byte(strings.Repeat(name, missingBytes))}}
+	}
+	return FetchResult{Object: &cache.Object{Host: request.Host, Target: request.Target, Service: "s", Body: body, ETag: name, Stamp: name}}
+}
+
+// One cached object goes to many clients at once, whole and in part, from
+// memory that they share; each reads just the object that it asked for.
+func TestSharedObjects(t *testing.T) {
+	addr, h := newTestFront(t)
+	sizes := map[string]int{"a": 700, "b": 6000, "c": 90_000}
+	c := NewCacheHandler(110_000, func() time.Duration { return 0 }, testFetcher{sizes})
+	c.ApplyPurges(0, 0, nil)
+	h.SetCacheHandler(c)
+	var clients sync.WaitGroup
+	for client := range 8 {
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			checkSharedObjects(t, addr, client, sizes)
+		}()
+	}
+	clients.Wait()
+}
+
+// checkSharedObjects pipelines requests for all objects, every third of them
+// for a range.
+func checkSharedObjects(t *testing.T, addr string, client int, sizes map[string]int) {
+	raw, methods, names := "", []string{}, []string{}
+	for i := range 40 {
+		name, lines := string("abcd"[(client+i*i)%4]), ""
+		if i%3 == 0 {
+			lines = "Range: bytes=5-99\r\n"
+		}
+		raw += rawRequest("GET", "/cached/"+name, fmt.Sprint(client, ".", i), lines, "")
+		methods, names = append(methods, "GET"), append(names, name)
+	}
+	responses, rest := send(t, addr, raw, methods...)
+	if len(responses) != len(names) || rest != "" {
+		t.Errorf("client %d: %d responses and then %q", client, len(responses), rest)
+	}
+	for i, r := range responses {
+		size, status := sizes[names[i]], 200
+		switch {
+		case size == 0:
+			size, status = missingBytes, 404
+		case i%3 == 0:
+			size, status = 95, 206
+		}
+		if r.status != status || r.id != fmt.Sprint(client, ".", i) || r.body != strings.Repeat(names[i], size) {
+			t.Errorf("client %d, response %d: %d %s, %d bytes, want %d of %q", client, i, r.status, r.id, len(r.body), size, names[i])
+		}
+	}
+}
