--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -14,62 +14,62 @@
 	"swiftswitch/internal/storage"
 )
 
-// What follows opens the server's inside to the tests that run whole nodes:
-// they stand outside the package, since a node is made of this package.
+// The tests of whole nodes are in an external package, as package node imports
+// this one. What they need of a server's internals is exported here.
 
-func (h *Server) Acceptor() *consensus.DurableAcceptor { return &h.acceptor }
-func (h *Server) Loop() *commandloop.Loop              { return h.loop }
-func (h *Server) ProposalLock() *proposalLock          { return &h.proposalLock }
-func (h *Server) Host() *host.Host                     { return h.host }
-func (h *Server) Store() *storage.Store                { return h.store }
-func (h *Server) Table() *endpoints.Table              { return h.tables.current }
-func (h *Server) Voter() *lease.Voter                  { return h.pollLease.voter }
-func (h *Server) PollLease() *lease.Candidate          { return h.pollLease.Candidate }
-func (h *Server) Incarnation() int64                   { return h.incarnation }
-func (h *Server) TableDeltas() int                     { return len(h.tables.deltas) }
-func (h *Server) SetFrontCounts(n int)                 { h.fronts.count, h.fronts.persistedCount = n, n }
-func (h *Server) InheritedFrontCount() int             { return h.fronts.inheritedCount }
-func (h *Server) PersistedFrontCount() int             { return h.fronts.persistedCount }
-func (h *Server) OrderKnownAt() map[int64]time.Duration {
-	return h.rollouts.orderKnownAt
+func (s *Server) Acceptor() *consensus.DurableAcceptor { return &s.acceptor }
+func (s *Server) Loop() *commandloop.Loop              { return s.loop }
+func (s *Server) ProposalLock() *proposalLock          { return &s.proposalLock }
+func (s *Server) Host() *host.Host                     { return s.host }
+func (s *Server) Store() *storage.Store                { return s.store }
+func (s *Server) Table() *endpoints.Table              { return s.tables.current }
+func (s *Server) Voter() *lease.Voter                  { return s.pollLease.voter }
+func (s *Server) PollLease() *lease.Candidate          { return s.pollLease.Candidate }
+func (s *Server) Incarnation() int64                   { return s.incarnation }
+func (s *Server) TableDeltas() int                     { return len(s.tables.deltas) }
+func (s *Server) SetFrontCounts(n int)                 { s.fronts.count, s.fronts.persistedCount = n, n }
+func (s *Server) InheritedFrontCount() int             { return s.fronts.inheritedCount }
+func (s *Server) PersistedFrontCount() int             { return s.fronts.persistedCount }
+func (s *Server) OrderKnownAt() map[int64]time.Duration {
+	return s.rollouts.orderKnownAt
 }
-func (h *Server) Evaluators() map[int64]*rollout.Evaluator { return h.rollouts.evaluators }
+func (s *Server) Evaluators() map[int64]*rollout.Evaluator { return s.rollouts.evaluators }
 
-func (h *Server) SetDetector(d *membership.FailureDetector) { h.peers.detector = d }
+func (s *Server) SetDetector(d *membership.FailureDetector) { s.peers.detector = d }
 
-func (h *Server) ReplacementTimeout() time.Duration { return h.replacementTimeout() }
-func (h *Server) MemberReport() membership.Report   { return h.memberReport() }
-func (h *Server) WaitDurable() int64                { return h.waitDurable() }
-func (h *Server) SetTable(t *endpoints.Table)       { h.tables.set(t) }
-func (h *Server) CountFronts(now time.Duration) int { return h.fronts.countAll(now) }
-func (h *Server) FrontsAround(zone string) (region, here int) {
-	counts := h.fronts.around(zone)
+func (s *Server) ReplacementTimeout() time.Duration { return s.replacementTimeout() }
+func (s *Server) MemberReport() membership.Report   { return s.memberReport() }
+func (s *Server) WaitDurable() int64                { return s.waitDurable() }
+func (s *Server) SetTable(t *endpoints.Table)       { s.tables.set(t) }
+func (s *Server) CountFronts(now time.Duration) int { return s.fronts.countAll(now) }
+func (s *Server) FrontsAround(zone string) (region, here int) {
+	counts := s.fronts.around(zone)
 	return counts.region, counts.zone
 }
 
-func (h *Server) HandleJoin(m nodeapi.JoinRequest) nodeapi.JoinResponse {
-	return h.handleJoin(m)
+func (s *Server) HandleJoin(m nodeapi.JoinRequest) nodeapi.JoinResponse {
+	return s.handleJoin(m)
 }
 
-func (h *Server) HandleConsensus(m nodeapi.ConsensusRequest) (nodeapi.ConsensusResponse, error) {
-	return h.handleConsensus(m)
+func (s *Server) HandleConsensus(m nodeapi.ConsensusRequest) (nodeapi.ConsensusResponse, error) {
+	return s.handleConsensus(m)
 }
 
-func (h *Server) MajorityDurable(s consensus.State, until time.Time) bool {
-	return h.majorityDurable(s, until)
+func (s *Server) MajorityDurable(state consensus.State, until time.Time) bool {
+	return s.majorityDurable(state, until)
 }
 
-func (h *Server) Propose(base consensus.State, own *consensus.Value) bool {
-	return h.propose(base, own)
+func (s *Server) Propose(base consensus.State, own *consensus.Value) bool {
+	return s.propose(base, own)
 }
 
-func (h *Server) ChangeConfiguration(isPatch bool, body, match string, until time.Time) int {
-	_, err := h.changeConfiguration(configurationChange{isPatch: isPatch, body: body, ifMatch: match}, until)
+func (s *Server) ChangeConfiguration(isPatch bool, body, match string, until time.Time) int {
+	_, err := s.changeConfiguration(configurationChange{isPatch: isPatch, body: body, ifMatch: match}, until)
 	return httpStatus(err)
 }
 
-func (h *Server) RolloutTotals() *nodeapi.RolloutTotals {
-	return h.rollouts.step().totals
+func (s *Server) RolloutTotals() *nodeapi.RolloutTotals {
+	return s.rollouts.step().totals
 }
 
 var (
@@ -77,9 +77,9 @@
 	WriteInitialRecords = writeInitialRecords
 )
 
-// Waiting counts those that wait for the lock.
-func (t *proposalLock) Waiting() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.urgent) + len(t.waiting)
+// Waiting counts the waiters.
+func (l *proposalLock) Waiting() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.urgent) + len(l.normal)
 }
--- a/internal/control/front_registry.go
+++ b/internal/control/front_registry.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"time"
 
-	"swiftswitch/internal/codec"
 	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/host"
@@ -238,7 +237,7 @@
 // persistCount writes the count to disk. It runs on loop.
 func (f *frontRegistry) persistCount(count int) {
 	f.persistedCount = count
-	f.store.Put(records.KeyFrontCount, codec.MustEncode(records.KeyFrontCount, count), nil)
+	records.FrontCountRecord.Put(f.store, count, nil)
 }
 
 // onPeerCount takes how many fronts another control node counts. A node that no
--- a/internal/control/lease_controller.go
+++ b/internal/control/lease_controller.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"swiftswitch/internal/codec"
 	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/consensus"
 	"swiftswitch/internal/endpoints"
@@ -277,7 +276,7 @@
 // disk. It runs on loop.
 func (l *leaseController) persistGrants(done chan<- error) {
 	granted, write := l.voter.Records()
-	l.store.Put(records.KeyLeases, codec.MustEncode(records.KeyLeases, granted), func(err error) {
+	records.LeasesRecord.Put(l.store, granted, func(err error) {
 		if err == nil {
 			l.loop.Submit(func() { l.voter.MarkDurable(write) })
 		}
--- a/internal/control/proposal_lock_test.go
+++ b/internal/control/proposal_lock_test.go
@@ -5,31 +5,38 @@
 	"time"
 )
 
+// An urgent waiter gets the lock before one that came earlier, and a holder can
+// yield to it between two attempts.
 func TestProposalLockOrder(t *testing.T) {
-	var u proposalLock
-	u.Lock()
-	got := make(chan string, 3)
-	wait := func(what string, n int) {
-		for {
-			if u.Waiting() == n {
-				return
-			}
+	var lock proposalLock
+	lock.Lock()
+	acquired := make(chan string, 3)
+	awaitWaiters := func(count int) {
+		for lock.Waiting() != count {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	go func() { u.Lock(); got <- "order"; u.Unlock() }()
-	wait("order", 1)
-	go func() { u.LockUrgent(time.Minute); got <- "join"; u.Unlock() }()
-	wait("join", 2)
-	if u.TryLock() || u.LockUrgent(time.Millisecond) {
-		t.Fatal("two have the turn")
+	go func() {
+		lock.Lock()
+		acquired <- "normal"
+		lock.Unlock()
+	}()
+	awaitWaiters(1)
+	go func() {
+		lock.LockUrgent(time.Minute)
+		acquired <- "urgent"
+		lock.Unlock()
+	}()
+	awaitWaiters(2)
+	if lock.TryLock() || lock.LockUrgent(time.Millisecond) {
+		t.Fatal("the lock was acquired while it was held")
 	}
-	u.YieldToUrgent()
-	if a, b := <-got, <-got; a != "join" || b != "order" {
-		t.Fatal(a, b)
+	lock.YieldToUrgent()
+	if first, second := <-acquired, <-acquired; first != "urgent" || second != "normal" {
+		t.Fatalf("the lock went to the %s waiter, then to the %s one", first, second)
 	}
-	u.Unlock()
-	if !u.TryLock() {
-		t.Fatal("nobody has the turn, and it is not free")
+	lock.Unlock()
+	if !lock.TryLock() {
+		t.Fatal("the lock is not free after its last holder released it")
 	}
 }
--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -352,7 +352,7 @@
 // restart gives no order more time. Runs on Server.loop.
 func (c *rolloutController) persistTerms(now time.Duration) {
 	c.termsPersistedAt = now
-	c.server.writeRecord(records.KeyTerms, c.clock.Record(c.isRunning, time.Now(), now), nil)
+	records.RolloutClockRecord.Put(c.server.store, c.clock.Record(c.isRunning, time.Now(), now), nil)
 }
 
 // elapsedTerms returns how many milliseconds of the running orders' terms have
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -6,7 +6,6 @@
 	"sync/atomic"
 	"time"
 
-	"swiftswitch/internal/codec"
 	"swiftswitch/internal/commandloop"
 	"swiftswitch/internal/config"
 	"swiftswitch/internal/consensus"
@@ -16,20 +15,28 @@
 	"swiftswitch/internal/storage"
 )
 
-// Server is the part of a node with a disk. Its tables belong to one desk.
+// Server is the control server of a node. See the package comment for its parts
+// and for the command loop.
+//
+// All fields are set by New and not changed afterwards. What peers and the
+// controllers hold is owned by the loop, unless they say otherwise.
 type Server struct {
 	host  *host.Host
 	store *storage.Store
 	loop  *commandloop.Loop
-	// replica is this node's replica of the replicated log.
-	*replica
 	// handlers answer the calls of other nodes, by path.
 	handlers map[string]handlerFunc
+	// bootID is drawn for each run of the process. It is the high part of
+	// revisions that count within one run, so that those of two runs differ.
+	bootID int64
 
-	// tables holds the endpoint table.
-	tables *tableController
+	// replica is this node's replica of the replicated log. It is embedded, as
+	// every part of the server proposes to the log or reads its state.
+	*replica
 	// versions answers the fronts that fetch the configuration.
 	versions *versionCache
+	// tables holds the endpoint table and distributes it.
+	tables *tableController
 	// pollLease campaigns for the lease of the poller role and grants it; poller
 	// polls the platform while this node holds that lease.
 	pollLease *leaseController
@@ -47,11 +54,8 @@
 	purges   *purgeController
 	rollouts *rolloutController
 
-	// bootID is drawn for each run of the process. It is the high part of
-	// revisions that count within one run, so that those of two runs differ.
-	bootID int64
-
-	// ordersInFlight counts the operator's orders under way; closing: none is taken any more.
+	// ordersInFlight counts the operators' changes that this node works on;
+	// closing: it takes no more of them, since it drains.
 	ordersInFlight atomic.Int64
 	closing        atomic.Bool
 }
@@ -108,11 +112,6 @@
 // newBootID leaves room for more than a thousand revisions below each ID.
 func newBootID() int64 { return rand.Int64N(1<<40) << 10 }
 
-// writeRecord writes one record.
-func (s *Server) writeRecord(name string, v any, then func(error)) {
-	s.store.Put(name, codec.MustEncode(name, v), then)
-}
-
 // Start runs the controllers. The node's listener is open by then.
 func (s *Server) Start() {
 	go s.heartbeatLoop()
@@ -135,17 +134,18 @@
 // onStateLearned follows a decided state; see replicaOwner.
 func (s *Server) onStateLearned(old, learned consensus.State) {
 	s.onVotersRestored()
-	isNextSlot := learned.VotersSlot == old.Slot+1
-	s.pollLease.voter.SetVoters(learned.VotersSlot, learned.IsVoter(s.acceptor.ID), isNextSlot, s.host.Now())
+	consecutive := learned.VotersSlot == old.Slot+1
+	s.pollLease.voter.SetVoters(learned.VotersSlot, learned.IsVoter(s.acceptor.ID), consecutive, s.host.Now())
 	s.rollouts.apply()
 	if learned.Version != old.Version {
 		s.versions.invalidate()
 	}
 }
 
-// Close ends the server at once; the store gets the time given to finish its writes.
-func (s *Server) Close(within time.Duration) {
-	s.store.Close(within)
+// Close ends the server at once, without draining; the store has until the
+// timeout to finish its writes.
+func (s *Server) Close(timeout time.Duration) {
+	s.store.Close(timeout)
 	s.loop.Close()
 }
 
@@ -156,5 +156,5 @@
 	return func() { s.ordersInFlight.Add(-1) }, !s.closing.Load()
 }
 
-// Closing tells whether the node takes no more changes because it drains.
+// Closing reports whether the node takes no more changes because it drains.
 func (s *Server) Closing() bool { return s.closing.Load() }
--- a/internal/control/table_controller.go
+++ b/internal/control/table_controller.go
@@ -131,6 +131,6 @@
 	}
 	t.current = table
 	clear(t.deltas)
-	t.store.Put(records.KeyTable, codec.MustEncode(records.KeyTable, table), nil)
+	records.TableRecord.Put(t.store, table, nil)
 	t.changed()
 }
