--- a/internal/cache/purge_log.go
+++ b/internal/cache/purge_log.go
@@ -76,12 +76,12 @@
 			return true
 		}
 	}
-	return l.LastPurgeOf(o.Host, o.Target) > o.KnownPurge
+	return l.lastPurgeOf(o.Host, o.Target) > o.KnownPurge
 }
 
-// LastPurgeOf returns the number of the last purge that named an object by its
+// lastPurgeOf returns the number of the last purge that named an object by its
 // path. A path without a query names the objects of all its queries.
-func (l *PurgeLog) LastPurgeOf(host, target string) int64 {
+func (l *PurgeLog) lastPurgeOf(host, target string) int64 {
 	last := l.paths[Key(host, target)]
 	if path, _, hasQuery := strings.Cut(target, "?"); hasQuery {
 		last = max(last, l.paths[Key(host, path)])
--- a/internal/frontend/framing_test.go
+++ b/internal/frontend/framing_test.go
@@ -10,26 +10,19 @@
 	"time"
 )
 
-// Whatever a client writes, each response goes to the request that it belongs
-// to, in the order of the requests, and an endpoint processes nothing that was
-// no request of its own: ambiguous framing ends the connection.
-func TestOneResponsePerRequest(t *testing.T) {
-	endpoint := newTestEndpoint(t, func(c net.Conn, r *http.Request) error {
-		if strings.Contains(r.RequestURI, "slow") {
-			time.Sleep(40 * time.Millisecond)
-		}
-		return replyWhole(c, r)
-	})
-	addr, _ := newTestFront(t, endpoint.addr)
+// framingCase is what a client writes on one connection.
+type framingCase struct {
+	raw string
+	// want lists, for each response in turn, the request's method, the
+	// status and the request ID; processed is what the endpoint processes.
+	want      string
+	processed []string
+}
+
+func framingCases() map[string]framingCase {
 	evil := rawRequest("GET", "/safe/evil", "e", "", "")
 	chunks := "4\r\nbody\r\n0\r\n"
-	for name, c := range map[string]struct {
-		raw string
-		// want lists, for each response in turn, the request's method, the
-		// status and the request ID; processed is what the endpoint processes.
-		want      string
-		processed []string
-	}{
+	return map[string]framingCase{
 		"pipelined": {rawRequest("GET", "/safe/slow", "1", "", "") + rawRequest("GET", "/safe/b", "2", "", "") + rawRequest("POST", "/unsafe/slow", "3", contentLength("x"), "x") + rawRequest("GET", "/none", "4", "", ""),
 			"GET 200 1,GET 200 2,POST 200 3,GET 404 ", []string{"GET /safe/slow 1", "GET /safe/b 2", "POST /unsafe/slow 3 x"}},
 		"HEAD between": {rawRequest("HEAD", "/safe/a", "1", "", "") + rawRequest("GET", "/safe/b", "2", "", ""), "HEAD 200 1,GET 200 2", []string{"HEAD /safe/a 1", "GET /safe/b 2"}},
@@ -58,7 +51,21 @@
 		"target without a path": {rawRequest("OPTIONS", "*", "1", "", "") + rawRequest("GET", "/safe/b", "2", "", ""), "OPTIONS 400 ,GET 200 2", []string{"GET /safe/b 2"}},
 		"Expect: 100-continue": {rawRequest("POST", "/unsafe/a", "1", "Expect: 100-continue\r\n"+contentLength("body"), "body") + rawRequest("GET", "/safe/b", "2", "", ""),
 			"POST 100 ,POST 200 1,GET 200 2", []string{"POST /unsafe/a 1 body", "GET /safe/b 2"}},
-	} {
+	}
+}
+
+// Whatever a client writes, each response goes to the request that it belongs
+// to, in the order of the requests, and an endpoint processes nothing that was
+// no request of its own: ambiguous framing ends the connection.
+func TestOneResponsePerRequest(t *testing.T) {
+	endpoint := newTestEndpoint(t, func(c net.Conn, r *http.Request) error {
+		if strings.Contains(r.RequestURI, "slow") {
+			time.Sleep(40 * time.Millisecond)
+		}
+		return replyWhole(c, r)
+	})
+	addr, _ := newTestFront(t, endpoint.addr)
+	for name, c := range framingCases() {
 		t.Run(name, func(t *testing.T) {
 			var methods []string
 			for _, want := range strings.Split(c.want, ",") {
