--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -14,8 +14,8 @@
 	"swiftswitch/internal/consensus"
 )
 
-// Past its caller's patience nothing is proposed for a call, though it gets
-// the lock of proposals at last.
+// After a call's deadline nothing is proposed for it, even if it then acquires
+// the proposal lock.
 func TestNothingStartsPastThePatience(t *testing.T) {
 	w, h := testcluster.StartSingleControlNode(t)
 	before := h.State()
@@ -34,7 +34,7 @@
 	h.ProposalLock().Unlock()
 	for range calls {
 		if status := <-got; status != 503 {
-			t.Errorf("past the patience: %d", status)
+			t.Errorf("past the deadline: %d", status)
 		}
 	}
 	h.ProposalLock().Lock()
@@ -45,14 +45,14 @@
 	time.Sleep(150 * time.Millisecond)
 	h.ProposalLock().Unlock()
 	if status := <-got; status != 503 {
-		t.Errorf("a change past the patience: %d", status)
+		t.Errorf("a change past the deadline: %d", status)
 	}
 	if s := h.State(); s.Slot != before.Slot {
 		t.Errorf("%d slots were decided", s.Slot-before.Slot)
 	}
 }
 
-// settleOrder ends the plain service's order in the log.
+// settleOrder has the last phase of the plain service's order decided.
 func settleOrder(t *testing.T, h *control.Server, phase consensus.Phase) {
 	t.Helper()
 	h.ProposalLock().Lock()
@@ -92,7 +92,7 @@
 	if status := order("v3"); status != 200 {
 		t.Fatalf("the next order: %d", status)
 	}
-	// While the next one runs a late copy is acknowledged again, another order is not.
+	// While the next one runs, a late copy is acknowledged again; another order is not.
 	if status := order("v2"); status != 200 {
 		t.Errorf("a late copy beside a running order: %d", status)
 	}
@@ -117,7 +117,7 @@
 	last("v2", consensus.PhaseCanary)
 }
 
-// A node that is behind asks a majority before it refuses an order.
+// A node that is behind reads from a majority before it rejects an order.
 func TestOrderAtANodeThatIsBehind(t *testing.T) {
 	w := testcluster.New(t)
 	for n := 1; n <= 3; n++ {
@@ -145,7 +145,7 @@
 	}
 }
 
-// A change that lost says which version is current.
+// The answer to a change that lost names the current version.
 func TestLostChangeNamesTheCurrentVersion(t *testing.T) {
 	w, h := testcluster.StartSingleControlNode(t)
 	for match, want := range map[string]string{"2": "3", "9": "3"} {
--- a/internal/control/purge_test.go
+++ b/internal/control/purge_test.go
@@ -1,9 +1,10 @@
 package control
 
 import (
-	"swiftswitch/internal/consensus"
 	"testing"
 	"time"
+
+	"swiftswitch/internal/consensus"
 )
 
 func TestPurgesOfOneBatchAreDistinct(t *testing.T) {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -2,14 +2,14 @@
 
 import (
 	"strings"
-	"swiftswitch/internal/testcluster"
 	"testing"
 	"time"
 
 	"swiftswitch/internal/consensus"
+	"swiftswitch/internal/testcluster"
 )
 
-func TestGoodVersionCompletesWhileAHutGoes(t *testing.T) {
+func TestRolloutCompletesWhileLeaseHolderFails(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	failed := w.StartTraffic()
 	news := []*testcluster.Endpoint{w.AddEndpoint("plain", "plain-c-new"), w.AddEndpoint("plain", "plain-d-new")}
@@ -33,10 +33,10 @@
 	if status, r := w.Rollout(12); status != 200 || r.State != "running" || r.TargetVersion != "v2" || r.RemainingS <= 0 || r.RemainingS > 40 {
 		t.Fatalf("it runs: %d %+v", status, r)
 	}
-	w.Kill("1") // the first in the order has the duty
+	w.Kill("1") // the preferred holder of the poll lease
 	w.Eventually("completed", func() bool { _, r := w.Rollout(2); return r.State == "completed" })
 	w.WaitPhaseAtFronts(consensus.PhaseCompleted)
-	// The old searchers end at once.
+	// The endpoints of the old version end at once.
 	for _, id := range []string{"plain-a", "plain-b"} {
 		s[id].Server.CloseClientConnections()
 		_ = s[id].Server.Listener.Close()
@@ -49,7 +49,7 @@
 		}
 	}
 	if n := failed() - before; n > 0 {
-		t.Errorf("%d requests failed when the old searchers ended", n)
+		t.Errorf("%d requests failed when the old endpoints ended", n)
 	}
 	if status, body := w.StartRollout(3, "v2", 40); status != 200 {
 		t.Fatalf("the settled order again: %d %s", status, body)
@@ -116,8 +116,8 @@
 	w.Eventually("the right end", func() bool { _, r := w.Rollout(2); return r.State == "completed" })
 }
 
-// The holder of the duty goes once the charts have spoken and before the log
-// has decided: whoever takes the duty over finds the same and decides it.
+// The lease holder fails after its charts signalled and before the log has
+// decided: the successor comes to the same result and has it decided.
 func TestHolderGoesBetweenAlarmAndDecision(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	w.StartTraffic()
@@ -130,7 +130,7 @@
 	if status, body := w.StartRollout(3, "v2", 40); status != 200 {
 		t.Fatalf("order: %d %s", status, body)
 	}
-	w.Eventually("the holder's charts speak", func() (bad bool) {
+	w.Eventually("the holder's charts signal", func() (bad bool) {
 		holder.Loop().Call(func() {
 			for _, j := range holder.Evaluators() {
 				bad = bad || j.Finding() != ""
@@ -138,7 +138,7 @@
 		})
 		return bad
 	})
-	// On a slow machine the others may have thought the holder gone already.
+	// On a slow machine the others may have suspected the holder already.
 	if _, r := w.Rollout(2); r.State != "running" && w.Nodes["2"].Status().Control.LeaseHolder == holder.Acceptor().ID {
 		t.Fatalf("decided already: %+v", r)
 	}
@@ -146,8 +146,8 @@
 	w.Eventually("the successor rolls it back", func() bool { _, r := w.Rollout(2); return r.State == "rolled_back" })
 }
 
-// A front that starts in the middle of an order knows it before it is ready,
-// and keeps to its share.
+// A front that starts during a rollout knows it before it is ready, and sends
+// the canary no more than its share.
 func TestFrontStartsMidRollout(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	news := []*testcluster.Endpoint{w.AddEndpoint("plain", "plain-c-new"), w.AddEndpoint("plain", "plain-d-new")}
@@ -170,11 +170,11 @@
 			t.Fatalf("%d", r.StatusCode)
 		}
 	}
-	// 0.15 of them are its share; five times the spread beyond it is no chance.
+	// The share is 0.15; the bound is five standard deviations above it.
 	if got := asked() - before; got > n*15/100+31 {
 		t.Errorf("%d of %d requests went to the new version", got, n)
 	}
-	// Cut off from all huts it goes back to the old version by itself.
+	// Partitioned from all control nodes, it goes back to the old version by itself.
 	for _, h := range []string{"1", "2", "3"} {
 		w.Kill(h)
 	}
@@ -225,8 +225,7 @@
 	}
 }
 
-// A call that waits for the voters to become enough must not keep them from
-// becoming so.
+// A call that waits for enough replicas must not keep a node from becoming a voter.
 func TestVotersJoinWhileCallsWait(t *testing.T) {
 	w := testcluster.New(t)
 	w.ToleratedLosses = 2
@@ -239,8 +238,8 @@
 	w.Eventually("the fifth votes", func() bool { s := node.Control().State(); return s.IsVoter(node.Control().ID()) })
 }
 
-// Without a majority nothing is decided and the new version is left alone;
-// when it is back the order goes on to the right end.
+// Without a majority nothing is decided and the new version gets no requests;
+// once there is one again, the rollout completes.
 func TestCoreCutMidRollout(t *testing.T) {
 	w, _ := testcluster.StartDefault(t)
 	failed := w.StartTraffic()
@@ -259,7 +258,7 @@
 		t.Errorf("the new version is asked without a majority: %d, %d", before, now)
 	}
 	if status, r := w.Rollout(1); status == 200 {
-		t.Errorf("one hut of three answers for the order: %+v", r)
+		t.Errorf("one control node of three answers a read of the order: %+v", r)
 	}
 	w.StartNode(2, false, 1, 2, 3)
 	w.StartNode(3, false, 1, 2, 3)
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -13,12 +13,12 @@
 	"swiftswitch/internal/endpoints"
 )
 
-// Hundreds of fronts ask one hut at the same moment, twice: each gets the whole
-// table, which is packed once for all, and is counted with its zone.
+// Hundreds of fronts watch one control node at the same moment, twice: each gets
+// the whole table, which is packed once for all, and is counted with its zone.
 func TestManyFrontsJoin(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	const fronts = 240
-	hut := w.Nodes["1"].Control()
+	server := w.Nodes["1"].Control()
 	to := w.Nodes["1"].Settings().InternalAddress(w.IP(1))
 	var tables []*endpoints.Table
 	for round := 0; round < 2; round++ {
@@ -28,18 +28,18 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				ask := nodeapi.WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, PurgeSeq: -1, Zone: []string{"z1", "z2"}[i%2], Primary: true, MaxHoldMs: 100, Locate: true}
-				var say nodeapi.WatchResponse
-				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 3*time.Second); err != nil || len(say.ControlNodes) != 3 || say.Delta != nil {
-					t.Errorf("hello: %v, %d huts", err, len(say.ControlNodes))
+				request := nodeapi.WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, PurgeSeq: -1, Zone: []string{"z1", "z2"}[i%2], Primary: true, MaxHoldMs: 100, Locate: true}
+				var response nodeapi.WatchResponse
+				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, request, &response, 3*time.Second); err != nil || len(response.ControlNodes) != 3 || response.Delta != nil {
+					t.Errorf("locate: %v, %d control nodes", err, len(response.ControlNodes))
 					return
 				}
-				ask.Locate = false
-				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 3*time.Second); err != nil {
+				request.Locate = false
+				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, request, &response, 3*time.Second); err != nil {
 					t.Errorf("watch: %v", err)
 					return
 				}
-				d, err := nodeapi.UnpackTableDelta(say.Delta, 1<<20)
+				d, err := nodeapi.UnpackTableDelta(response.Delta, 1<<20)
 				if err != nil {
 					t.Errorf("what came can't be read: %v", err)
 					return
@@ -56,26 +56,26 @@
 			}
 		}
 	}
-	// What several of them tell of a searcher reaches another at once.
+	// An endpoint that several of them report is announced to another at once.
 	need := control.RequiredReporters(fronts/2 + 1)
 	for i := range need {
 		if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathUnreachable, nodeapi.UnreachableReport{Name: fmt.Sprint("many-", 2*i), UnreachableOrdinals: []int64{tables[0].Endpoints[0].Ordinal}}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var say nodeapi.WatchResponse
-	ask := nodeapi.WatchRequest{Name: "many-1", Zone: "z2", Primary: true, MaxHoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
-	if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, ask, &say, 2*time.Second); err != nil || len(say.UnreachableOrdinals) != 1 || say.UnreachableOrdinals[0] != tables[0].Endpoints[0].Ordinal {
-		t.Errorf("told of silent searchers: %v, %v", say.UnreachableOrdinals, err)
+	var response nodeapi.WatchResponse
+	request := nodeapi.WatchRequest{Name: "many-1", Zone: "z2", Primary: true, MaxHoldMs: 900, Slot: 1 << 40, Stamp: tables[0].Stamp}
+	if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, request, &response, 2*time.Second); err != nil || len(response.UnreachableOrdinals) != 1 || response.UnreachableOrdinals[0] != tables[0].Endpoints[0].Ordinal {
+		t.Errorf("announced as unreachable: %v, %v", response.UnreachableOrdinals, err)
 	}
-	// A count serves all who ask within a tenth of a heartbeat; then it must be exact.
-	time.Sleep(hut.Host().Heartbeats(0.1))
-	hut.Loop().Call(func() {
-		if n := hut.TableDeltas(); n != 1 {
+	// A count serves all calls within a tenth of a heartbeat; then it must be exact.
+	time.Sleep(server.Host().Heartbeats(0.1))
+	server.Loop().Call(func() {
+		if n := server.TableDeltas(); n != 1 {
 			t.Errorf("the table was packed in %d ways", n)
 		}
-		all := hut.CountFronts(hut.Host().Now())
-		region, here := hut.FrontsAround("z2")
+		all := server.CountFronts(server.Host().Now())
+		region, here := server.FrontsAround("z2")
 		if all != fronts+2 || here != fronts/2+1 || region < here {
 			t.Errorf("counted %d fronts, %d in the region, %d in the zone", all, region, here)
 		}
@@ -88,12 +88,12 @@
 	}
 }
 
-// The holder of the duty to read the list goes just when a searcher begins to
-// drain: the next one notices, in time.
+// The holder of the poll lease fails just when an endpoint begins to drain: the
+// next holder notices, in time.
 func TestDrainWhileHolderGoes(t *testing.T) {
 	w, s := testcluster.StartDefault(t)
 	holder := ""
-	w.Eventually("somebody has the duty", func() bool {
+	w.Eventually("a node holds the lease", func() bool {
 		for _, n := range []string{"1", "2", "3"} {
 			if w.Nodes[n].Control().Status().HoldsLease {
 				holder = n
@@ -105,7 +105,7 @@
 	w.SetEndpointState("plain-a", "draining")
 	listed := time.Now()
 	bound := time.Duration(w.Settings(11, false, 1).Bounds.DrainMs) * time.Millisecond
-	w.Eventually("the fronts leave the searcher alone", func() bool {
+	w.Eventually("the fronts send the endpoint no requests", func() bool {
 		before := s["plain-a"].RunCount()
 		for i := 0; i < 6; i++ {
 			w.Request(11, "GET", "/p/x", "")
