--- a/internal/scatter/query.go
+++ b/internal/scatter/query.go
@@ -1,10 +1,6 @@
 package scatter
 
-import (
-	"time"
-
-	"swiftswitch/internal/upstream"
-)
+import "swiftswitch/internal/upstream"
 
 // Query is the state of one scattered request: a pure state machine over the
 // results of attempts. It is not safe for concurrent use.
@@ -19,6 +15,7 @@
 	// answered and open count the shards in those states.
 	answered int
 	open     int
+	hedges   hedgeSchedule
 }
 
 // NewQuery returns a query in which every shard is open.
@@ -45,6 +42,7 @@
 	s := q.Shards[i]
 	s.attempted = append(s.attempted, endpoint)
 	s.inFlight++
+	q.hedges.isStale = true
 }
 
 // GiveUp records that no further attempt of shard i can be made: there is no
@@ -113,26 +111,6 @@
 	return q.policy.Idempotent || !s.mayHaveRun && s.inFlight == 0
 }
 
-// ScheduleHedge sets when the attempt in flight of shard i is to be hedged.
-func (q *Query) ScheduleHedge(i int, at time.Time) { q.Shards[i].hedgeAt = at }
-
-// TakeHedge reports whether shard i is to be hedged now; a hedge is due once.
-// If it is not due yet, at is when it will be; zero means never.
-func (q *Query) TakeHedge(i int, now time.Time) (due bool, at time.Time) {
-	s := q.Shards[i]
-	if s.hedgeAt.IsZero() || s.inFlight == 0 || !q.MayAttempt(i) {
-		return false, time.Time{}
-	}
-	if now.Before(s.hedgeAt) {
-		return false, s.hedgeAt
-	}
-	s.hedgeAt = time.Time{}
-	return true, time.Time{}
-}
-
-// mayHedge reports whether any attempt of the query may be hedged.
-func (q *Query) mayHedge() bool { return q.policy.Idempotent && q.policy.MaxAttempts > 1 }
-
 // MayHaveRun reports whether any attempt may have run, or may still run.
 func (q *Query) MayHaveRun() bool {
 	for _, s := range q.Shards {
--- a/internal/scatter/query_test.go
+++ b/internal/scatter/query_test.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/cloudwego/hertz/pkg/protocol"
 	"swiftswitch/internal/tracetest"
@@ -12,7 +13,7 @@
 )
 
 // minTraces is how many traces there are at least.
-const minTraces = 8
+const minTraces = 9
 
 func TestTraces(t *testing.T) {
 	tracetest.Play(t, minTraces, func() func([]string) error {
@@ -42,6 +43,11 @@
 		return expect(arg[0], strconv.Itoa(countBodies(*q)))
 	case "can-forward": // can-forward SHARD yes|no: its last failure
 		return expect(arg[1], yesNo((*q).Shards[number(arg[0])].CanForwardFailure()))
+	case "hedge-at": // hedge-at SHARD MS
+		(*q).ScheduleHedge(number(arg[0]), atMillisecond(arg[1]))
+	case "hedges": // hedges MS SHARDS NEXT-MS: "-" stands for none
+		due, next := (*q).DueHedges(atMillisecond(arg[0]))
+		return expect(strings.Join(arg[1:], " "), joinOrNone(due)+" "+millisecondOf(next))
 	case "may-attempt": // may-attempt SHARD yes|no
 		return expect(arg[1], yesNo((*q).MayAttempt(number(arg[0]))))
 	case "decide": // decide early|soft|hard undecided|succeeded|failed
@@ -75,8 +81,8 @@
 		stamps = append(stamps, strings.TrimPrefix(s, "-"))
 	}
 	retry, valid := q.OnRelayResult(shards, stamps, []byte("records"))
-	got := strings.Trim(strings.ReplaceAll(fmt.Sprint(retry), " ", ","), "[]")
-	if got != strings.TrimPrefix(arg[2], "-") || valid != (arg[3] == "valid") {
+	got := joinOrNone(retry)
+	if got != arg[2] || valid != (arg[3] == "valid") {
 		return fmt.Errorf("retry %q, valid %v", got, valid)
 	}
 	return nil
@@ -108,6 +114,28 @@
 	return a
 }
 
+// joinOrNone writes shards as a trace does.
+func joinOrNone(shards []int) string {
+	if len(shards) == 0 {
+		return "-"
+	}
+	return strings.Trim(strings.ReplaceAll(fmt.Sprint(shards), " ", ","), "[]")
+}
+
+// traceStart is millisecond 0 of a trace.
+var traceStart = time.Unix(1, 0)
+
+func atMillisecond(s string) time.Time {
+	return traceStart.Add(time.Duration(number(s)) * time.Millisecond)
+}
+
+func millisecondOf(t time.Time) string {
+	if t.IsZero() {
+		return "-"
+	}
+	return strconv.FormatInt(t.Sub(traceStart).Milliseconds(), 10)
+}
+
 func countBodies(q *Query) int {
 	n := 0
 	for _, s := range q.Shards {
--- a/internal/scatter/run.go
+++ b/internal/scatter/run.go
@@ -57,10 +57,7 @@
 		if d := q.Decide(phase); d != Undecided {
 			return d == Succeeded
 		}
-		wake := r.deadlines.next(phase)
-		if q.mayHedge() {
-			wake = r.hedge(q, now, wake)
-		}
+		wake := r.hedge(q, now, r.deadlines.next(phase))
 		timer.Reset(wake.Sub(now))
 		select {
 		case res := <-r.results:
@@ -70,17 +67,15 @@
 	}
 }
 
-// hedge sends the hedges that are due. It returns when the next one is, if
+// hedge sends the hedges that are due. It returns when the next one may be, if
 // that is before wake, else wake.
 func (r *run) hedge(q *Query, now, wake time.Time) time.Time {
-	for i := range q.Shards {
-		due, at := q.TakeHedge(i, now)
-		switch {
-		case due:
-			r.retry(q, i, true)
-		case !at.IsZero() && at.Before(wake):
-			wake = at
-		}
+	due, next := q.DueHedges(now)
+	for _, i := range due {
+		r.retry(q, i, true)
+	}
+	if !next.IsZero() && next.Before(wake) {
+		return next
 	}
 	return wake
 }
