--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,25 +1,29 @@
-// Package control is the server of a node with a disk. The control nodes of a
-// cluster agree on its state by package consensus: the configuration, the
-// voters, the cache nodes, purges and rollouts. They serve that state to fronts
-// and cache nodes, and take the operators' calls that change it.
+// Package control is the server of a node with a disk: one of the few control
+// nodes that agree on the configuration, know the endpoints and deliver both to
+// the fronts.
 //
-// A Server has one command loop, which owns its tables: code that touches them
-// runs on the loop, and never waits there for the network or the disk. Each
-// goroutine beside it (heartbeats, lease campaign, discovery poller, join,
-// purges, rollouts, calls of other nodes) takes what it needs in one command,
-// works without the loop, and hands its result in with another. "It runs on the
-// loop" in a comment says that a method is to be called from such a command; all
-// other methods must not be.
+// There is no leader. Any control node takes an operator's call and proposes
+// the change itself (propose.go) in the replicated log of package consensus; a
+// call is acknowledged once a majority of the voters has the change on disk and
+// enough nodes hold it to bear the losses that the settings name
+// (replication.go). Reads ask a majority first (read.go).
 //
-// These parts make up a Server:
+// Singleton roles run under a lease with a fencing epoch (lease_controller.go):
+// its holder polls the platform's discovery list (discovery_poller.go), decides
+// the phases of rollouts (rollout_controller.go) and removes silent cache nodes
+// (cache_node_registry.go).
 //
-//   - replica answers and runs ballots, learns what was decided and brings it to
-//     disk and to other nodes.
-//   - leaseController campaigns for the lease of the poller role and grants it,
-//     discoveryPoller reads the platform's list of instances under that lease,
-//     and tableController distributes the endpoint table that comes of it.
-//   - The membership code (join, admission, replication, drain, hinted handoff)
-//     keeps as many voters as the tolerated losses take.
-//   - rolloutController moves rollouts from phase to phase.
-//   - The watch code holds the long polls of fronts and cache nodes.
+// Fronts and cache nodes long-poll two or more control nodes for what they lack
+// (watch.go). Control nodes exchange heartbeats (heartbeat.go), hand each other
+// what one has missed (hinted_handoff.go, state_transfer.go), and replace voters
+// that are lost for good (join.go, admission.go). A node that drains hands over
+// what it holds first (drain.go).
+//
+// # Ownership
+//
+// The tables of a Server and of its controllers belong to Server.loop: methods
+// that say so run on it, one at a time, and nothing else touches these fields.
+// Loops that wait, and calls to other nodes, run on goroutines of their own and
+// enter the loop by Call or Submit. proposalLock lets one proposal of this node
+// run at a time.
 package control
