--- a/internal/scatter/gatherer_test.go
+++ b/internal/scatter/gatherer_test.go
@@ -12,6 +12,9 @@
 	"swiftswitch/internal/upstream"
 )
 
+// distance of a zone: the empty one is local, the others are in the region.
+func distance(zone string) int { return min(len(zone), 1) }
+
 // newGatherer returns a gatherer for the endpoints of a table.
 func newGatherer(t testing.TB, ratio float64, list ...endpoints.Endpoint) *Gatherer {
 	t.Helper()
@@ -21,7 +24,7 @@
 	}
 	t.Cleanup(workers.Release)
 	pool := upstream.New(upstream.Options{
-		Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
+		Distance: distance, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
 		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: time.Second,
 	})
 	pool.SetTable(&endpoints.Table{Endpoints: list})
