--- a/internal/upstream/conn_pool_test.go
+++ b/internal/upstream/conn_pool_test.go
@@ -1,10 +1,93 @@
 package upstream
 
 import (
+	"strings"
 	"testing"
 	"time"
+
+	"swiftswitch/internal/endpoints"
 )
 
+// newIdlePool returns a pool whose endpoint has an idle connection, a request
+// and the counter of connections.
+func newIdlePool(t *testing.T) (pool *Pool, request *Request, conns func() int32) {
+	t.Helper()
+	addr, counter := serveScript(t, []string{wholeResponse, wholeResponse, wholeResponse})
+	pool, request = newAddrPool(t, addr)
+	if a := do(t, pool, request, time.Second); !a.Succeeded() {
+		t.Fatalf("attempt %+v", a)
+	}
+	if n := len(pool.endpoints["i"].idleConns); n != 1 {
+		t.Fatalf("%d idle connections", n)
+	}
+	return pool, request, counter.Load
+}
+
+func TestIdleConnIsReused(t *testing.T) {
+	pool, request, conns := newIdlePool(t)
+	if a := do(t, pool, request, time.Second); !a.Succeeded() || conns() != 1 {
+		t.Fatalf("attempt %+v, %d connections", a, conns())
+	}
+}
+
+func TestExpiredIdleConnIsNotReused(t *testing.T) {
+	pool, request, conns := newIdlePool(t)
+	pool.endpoints["i"].idleConns[0].IdleTimeout = 0
+	if a := do(t, pool, request, time.Second); !a.Succeeded() || conns() != 2 {
+		t.Fatalf("attempt %+v, %d connections", a, conns())
+	}
+}
+
+func TestPruneIdle(t *testing.T) {
+	pool, _, _ := newIdlePool(t)
+	e := pool.endpoints["i"]
+	pool.PruneIdle(time.Now())
+	if len(e.idleConns) != 1 {
+		t.Fatal("a connection that is still fresh was closed")
+	}
+	conn := e.idleConns[0]
+	pool.PruneIdle(time.Now().Add(2 * time.Second))
+	if len(e.idleConns) != 0 || conn.Reusable() {
+		t.Fatal("a connection was kept for too long")
+	}
+}
+
+// Idle connections beyond the limit are closed, those idle longest first.
+func TestPruneIdleBeyondLimit(t *testing.T) {
+	pool, _, _ := newIdlePool(t)
+	pool.SetConnectionLimit("s", 1)
+	e := pool.endpoints["i"]
+	pool.PruneIdle(time.Now())
+	if len(e.idleConns) != 1 {
+		t.Fatal("a connection within the limit was closed")
+	}
+	e.inFlight = append(e.inFlight, time.Now())
+	pool.PruneIdle(time.Now())
+	if len(e.idleConns) != 0 {
+		t.Fatal("a connection beyond the limit was kept")
+	}
+}
+
+// The connections of an endpoint that the table no longer lists are closed, and
+// those in use at that time when their response is in.
+func TestRemovedEndpoint(t *testing.T) {
+	pool, request, _ := newIdlePool(t)
+	e := pool.endpoints["i"]
+	idle := e.idleConns[0]
+	table, _ := endpoints.NextTable(nil, []endpoints.Endpoint{{ID: "j", Service: "s"}}, endpoints.Stamp{Epoch: 2})
+	picked, start := pool.Pick(Selector{Service: "s"}, nil, testTarget, false)
+	pool.SetTable(table)
+	if idle.Reusable() || len(e.idleConns) != 0 {
+		t.Fatal("an idle connection was kept")
+	}
+	if a := pool.Do(picked, request, start, time.Now().Add(time.Second)); !a.Succeeded() || len(e.idleConns) != 0 {
+		t.Fatalf("attempt %+v, %d idle connections after it", a, len(e.idleConns))
+	}
+	if got := pickID(pool, Selector{Service: "s"}, false); got != "j" {
+		t.Fatalf("picked %q", got)
+	}
+}
+
 func TestKeepAliveTimeout(t *testing.T) {
 	for _, c := range []struct {
 		header string
@@ -26,22 +109,13 @@
 	}
 }
 
-func TestParseLoad(t *testing.T) {
-	for _, c := range []struct {
-		header           string
-		running, waiting int
-		ok               bool
-	}{
-		{"2,3,4", 2, 3, true},
-		{" 2 , 3 ,4", 2, 3, true},
-		{"2,3", 0, 0, false},
-		{"2,3,4,5", 0, 0, false},
-		{"2,x,4", 0, 0, false},
-		{"", 0, 0, false},
-	} {
-		running, waiting, ok := parseLoad(c.header)
-		if ok != c.ok || ok && (running != c.running || waiting != c.waiting) {
-			t.Errorf("%q: %d, %d, %v", c.header, running, waiting, ok)
+func TestConnectionCloseIsNotReused(t *testing.T) {
+	closing := strings.Replace(wholeResponse, "Content-Length", "Connection: close\r\nContent-Length", 1)
+	addr, conns := serveScript(t, []string{closing, wholeResponse})
+	pool, request := newAddrPool(t, addr)
+	for i := range 2 {
+		if a := do(t, pool, request, time.Second); !a.Succeeded() || conns.Load() != int32(i+1) {
+			t.Fatalf("attempt %+v, %d connections", a, conns.Load())
 		}
 	}
 }
--- a/internal/upstream/ejection_test.go
+++ b/internal/upstream/ejection_test.go
@@ -10,23 +10,46 @@
 	var healthy, unhealthy idRecorder
 	pool.OnHealthy, pool.OnUnhealthy = healthy.add, unhealthy.add
 	near := pool.endpoints["a"]
-	for range pool.options.ConsecutiveFailures {
-		endAttempt(pool, near, Attempt{Outcome: OutcomeUnknown}, 0)
-	}
-	if unhealthy.String() != "a" || pool.UnhealthyCount() != 1 {
-		t.Fatalf("unhealthy: %v, %d in all", unhealthy, pool.UnhealthyCount())
-	}
-	if got := pickID(pool, Selector{Service: "s"}, false); got != "b" {
-		t.Fatalf("picked %q while the near endpoint is ejected", got)
+	for round, want := range []string{"a", "a,a"} {
+		for range pool.options.ConsecutiveFailures {
+			endAttempt(pool, near, Attempt{Outcome: OutcomeUnknown}, 0)
+		}
+		if unhealthy.String() != want || pool.UnhealthyCount() != 1 {
+			t.Fatalf("round %d: unhealthy: %v, %d in all", round, unhealthy, pool.UnhealthyCount())
+		}
+		if got := pickID(pool, Selector{Service: "s"}, false); got != "b" {
+			t.Fatalf("round %d: picked %q while the near endpoint is ejected", round, got)
+		}
+		for range 2 {
+			endAttempt(pool, near, testAnswered, 0)
+		}
+		if healthy.String() != want || near.consecutiveFailures != 0 || pool.UnhealthyCount() != 0 {
+			t.Fatalf("round %d: healthy again: %v, %d unhealthy", round, healthy, pool.UnhealthyCount())
+		}
+		if got := pickID(pool, Selector{Service: "s"}, false); got != "a" {
+			t.Fatalf("round %d: picked %q after the near endpoint answered", round, got)
+		}
 	}
-	for range 2 {
-		endAttempt(pool, near, Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}, 0)
+}
+
+// Once an ejection is over, one attempt at a time goes to the endpoint until it
+// answers.
+func TestOneAttemptAfterEjection(t *testing.T) {
+	pool := newNearFarPool(t)
+	pool.options.DistancePenalty = 100
+	near := pool.endpoints["a"]
+	near.consecutiveFailures = pool.options.ConsecutiveFailures
+	selector := Selector{Service: "s"}
+	e, start := pool.Pick(selector, nil, testTarget, false)
+	if e != near {
+		t.Fatalf("picked %v after the ejection", e.ID)
 	}
-	if healthy.String() != "a" || near.consecutiveFailures != 0 || pool.UnhealthyCount() != 0 {
-		t.Fatalf("healthy again: %v, %d unhealthy", healthy, pool.UnhealthyCount())
+	if got := pickID(pool, selector, false); got != "b" {
+		t.Fatalf("picked %q while the first attempt is under way", got)
 	}
-	if got := pickID(pool, Selector{Service: "s"}, false); got != "a" {
-		t.Fatalf("picked %q after the near endpoint answered", got)
+	pool.record(near, &Attempt{Outcome: OutcomeAnswered, Status: 200, Stamp: "x"}, start)
+	if got := pickID(pool, selector, false); got != "a" {
+		t.Fatalf("picked %q after an answer", got)
 	}
 }
 
--- a/internal/upstream/subset_test.go
+++ b/internal/upstream/subset_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 	"time"
 
@@ -147,3 +148,26 @@
 		}
 	}
 }
+
+// A fractional size is rounded up by the nodes whose rounding is below the
+// fraction, so that the mean over all nodes is right.
+func TestMinRank(t *testing.T) {
+	for _, c := range []struct {
+		size, rounding float64
+		want           uint64
+	}{
+		{0, 0, math.MaxUint64},
+		{0.5, 0.4, 40},
+		{0.5, 0.6, math.MaxUint64},
+		{1, 0, 40},
+		{2.5, 0.4, 20},
+		{2.5, 0.6, 30},
+		{3.5, 0.4, 0},
+		{4, 0, 0},
+		{9, 0, 0},
+	} {
+		if got := minRank([]uint64{30, 10, 40, 20}, c.size, c.rounding); got != c.want {
+			t.Errorf("size %v with rounding %v: rank %d, want %d", c.size, c.rounding, got, c.want)
+		}
+	}
+}
--- a/internal/upstream/unreachable_test.go
+++ b/internal/upstream/unreachable_test.go
@@ -37,9 +37,9 @@
 		e := localEndpoint(shard)
 		pool.services[e.Service].latency.p50 = 5
 		endAttempt(pool, e, testTimedOut, 300*time.Millisecond)
-	}
-	if got := pool.UnreachableOrdinals(time.Second); got != nil {
-		t.Fatalf("a node that is at fault itself reports %v", got)
+		if got := pool.UnreachableOrdinals(time.Second); got != nil {
+			t.Fatalf("a node that is at fault itself reports %v", got)
+		}
 	}
 }
 
