--- a/internal/upstream/conn_pool.go
+++ b/internal/upstream/conn_pool.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -25,7 +26,8 @@
 			return nil
 		}
 		conn := e.idleConns[0]
-		e.idleConns = e.idleConns[1:]
+		// Moving the few others keeps the array, which putIdle appends to.
+		e.idleConns = slices.Delete(e.idleConns, 0, 1)
 		p.mu.Unlock()
 		reusable, unsolicited := conn.CheckIdle()
 		if unsolicited {
--- a/internal/upstream/malformed_response_test.go
+++ b/internal/upstream/malformed_response_test.go
@@ -73,55 +73,67 @@
 	}
 }
 
+// Numbers of connections for three requests.
+const (
+	allReuse = 1 // one connection carries all
+	oneClose = 2 // the first connection is closed
+	noReuse  = 3 // each connection carries one request
+)
+
+// Parts of wholeResponse.
+const (
+	length        = "Content-Length: 4"
+	lengthAndBody = length + "\r\n\r\nbody"
+)
+
+// malformedResponseTest is a first response of an endpoint, which two whole ones
+// follow.
+type malformedResponseTest struct {
+	name string
+	// old is replaced by new in wholeResponse, to make the first response.
+	old, new string
+	// succeeds is whether that counts as a response, wantBody its body, and
+	// wantConns the connections for it and two whole ones.
+	succeeds  bool
+	wantBody  string
+	wantConns int32
+}
+
+var malformedResponseTests = []malformedResponseTest{
+	{"whole", "", "", true, "body", allReuse},
+	{"bytes after it", "body", "bodymore", true, "body", noReuse},
+	{"a response after it", "body", "body" + wholeResponse, true, "body", noReuse},
+	{"late bytes", "body", "body" + lateMarker + wholeResponse, true, "body", noReuse},
+	{"another ID", "r1", "r2", false, "", oneClose},
+	{"length not a number", length, "Content-Length: four", false, "", oneClose},
+	{"length too large", length, "Content-Length: 99", false, "", oneClose},
+	{"two lengths that differ", length, length + "\r\nContent-Length: 2", false, "", oneClose},
+	{"space before the colon", length, "Content-Length : 4", false, "", oneClose},
+	{"length and chunks", length, length + "\r\nTransfer-Encoding: chunked", false, "", oneClose},
+	{"no end", length + "\r\n", "", false, "", oneClose},
+	{"not a response", "HTTP/1.1 200 OK", "\x00\x01\x02 garbage", false, "", oneClose},
+	{"no status", "200", "9x9", false, "", oneClose},
+	{"malformed chunks", lengthAndBody, "Transfer-Encoding: chunked\r\n\r\nzz\r\nbody\r\n0\r\n\r\n", false, "", oneClose},
+	{"a signed length", length, "Content-Length: +4", false, "", oneClose},
+	{"a list of lengths", length, "Content-Length: 4, 4", false, "", oneClose},
+	{"a negative length", length, "Content-Length: -1", false, "", oneClose},
+	{"an unknown coding", length, "Transfer-Encoding: gzip", false, "", oneClose},
+	{"a folded line", length, "X-A: 1\r\n Content-Length: 9\r\n" + length, false, "", oneClose},
+	{"an older version", "HTTP/1.1", "HTTP/1.0", false, "", oneClose},
+	{"an interim response before it", "", "HTTP/1.1 103 X\r\nSwiftswitch-Request-Id: r2\r\nSwiftswitch-Server-Stamp: no\r\n\r\n", true, "body", allReuse},
+	{"a switch of protocols", "200 OK", "101 X", false, "", oneClose},
+	{"a body where none may be", "200 OK", "204 X", true, "", noReuse},
+	{"chunks with trailers", lengthAndBody, "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nSwiftswitch-Request-Id: r2\r\n\r\n", true, "body", allReuse},
+	{"chunks with extensions", lengthAndBody, "Transfer-Encoding: chunked\r\n\r\n4;x=1\r\nbody\r\n0\r\n\r\n", false, "", oneClose},
+	{"two IDs", length, "Swiftswitch-Request-Id: r2\r\n" + length, false, "", oneClose},
+	{"two stamps", length, "Swiftswitch-Server-Stamp: t\r\n" + length, false, "", oneClose},
+	{"no stamp", "Swiftswitch-Server-Stamp: s\r\n", "", false, "", allReuse},
+}
+
 // Whatever bytes an endpoint sends, only a whole response to this very request
 // counts, and a connection with unsolicited bytes is not used again.
 func TestMalformedResponses(t *testing.T) {
-	const (
-		length   = "Content-Length: 4"
-		end      = length + "\r\n\r\nbody"
-		allReuse = 1 // one connection for all requests
-		oneClose = 2 // the first connection is closed
-		noReuse  = 3 // each connection carries one request
-	)
-	for _, c := range []struct {
-		name string
-		// old is replaced by new in wholeResponse, to make the first response.
-		old, new string
-		// succeeds is whether that counts as a response, wantBody its body, and
-		// wantConns the connections for it and two whole ones.
-		succeeds  bool
-		wantBody  string
-		wantConns int32
-	}{
-		{"whole", "", "", true, "body", allReuse},
-		{"bytes after it", "body", "bodymore", true, "body", noReuse},
-		{"a response after it", "body", "body" + wholeResponse, true, "body", noReuse},
-		{"late bytes", "body", "body" + lateMarker + wholeResponse, true, "body", noReuse},
-		{"another ID", "r1", "r2", false, "", oneClose},
-		{"length not a number", length, "Content-Length: four", false, "", oneClose},
-		{"length too large", length, "Content-Length: 99", false, "", oneClose},
-		{"two lengths that differ", length, length + "\r\nContent-Length: 2", false, "", oneClose},
-		{"space before the colon", length, "Content-Length : 4", false, "", oneClose},
-		{"length and chunks", length, length + "\r\nTransfer-Encoding: chunked", false, "", oneClose},
-		{"no end", length + "\r\n", "", false, "", oneClose},
-		{"not a response", "HTTP/1.1 200 OK", "\x00\x01\x02 garbage", false, "", oneClose},
-		{"no status", "200", "9x9", false, "", oneClose},
-		{"malformed chunks", end, "Transfer-Encoding: chunked\r\n\r\nzz\r\nbody\r\n0\r\n\r\n", false, "", oneClose},
-		{"a signed length", length, "Content-Length: +4", false, "", oneClose},
-		{"a list of lengths", length, "Content-Length: 4, 4", false, "", oneClose},
-		{"a negative length", length, "Content-Length: -1", false, "", oneClose},
-		{"an unknown coding", length, "Transfer-Encoding: gzip", false, "", oneClose},
-		{"a folded line", length, "X-A: 1\r\n Content-Length: 9\r\n" + length, false, "", oneClose},
-		{"an older version", "HTTP/1.1", "HTTP/1.0", false, "", oneClose},
-		{"an interim response before it", "", "HTTP/1.1 103 X\r\nSwiftswitch-Request-Id: r2\r\nSwiftswitch-Server-Stamp: no\r\n\r\n", true, "body", allReuse},
-		{"a switch of protocols", "200 OK", "101 X", false, "", oneClose},
-		{"a body where none may be", "200 OK", "204 X", true, "", noReuse},
-		{"chunks with trailers", end, "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nSwiftswitch-Request-Id: r2\r\n\r\n", true, "body", allReuse},
-		{"chunks with extensions", end, "Transfer-Encoding: chunked\r\n\r\n4;x=1\r\nbody\r\n0\r\n\r\n", false, "", oneClose},
-		{"two IDs", length, "Swiftswitch-Request-Id: r2\r\n" + length, false, "", oneClose},
-		{"two stamps", length, "Swiftswitch-Server-Stamp: t\r\n" + length, false, "", oneClose},
-		{"no stamp", "Swiftswitch-Server-Stamp: s\r\n", "", false, "", allReuse},
-	} {
+	for _, c := range malformedResponseTests {
 		t.Run(c.name, func(t *testing.T) {
 			first := strings.Replace(wholeResponse, c.old, c.new, 1)
 			addr, conns := serveScript(t, []string{first, wholeResponse, wholeResponse})
