--- a/internal/cachenode/fetcher_test.go
+++ b/internal/cachenode/fetcher_test.go
@@ -85,7 +85,7 @@
 }
 
 func newTestPool(origin net.Addr) *upstream.Pool {
-	pool := upstream.New(upstream.Options{
+	pool := upstream.NewPool(upstream.Options{
 		Distance: func(string) int { return 0 }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
 		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Millisecond, TwoChoicesThreshold: 5, DecayTime: time.Second,
 	})
--- a/internal/front/construct.go
+++ b/internal/front/construct.go
@@ -185,7 +185,7 @@
 	inTouch := func(ratio float64) time.Duration {
 		return config.Milliseconds(h.Settings().Bounds.InTouchMs, ratio)
 	}
-	return upstream.New(upstream.Options{
+	return upstream.NewPool(upstream.Options{
 		NodeName:            h.Settings().NodeName,
 		Distance:            h.Distance,
 		DistancePenalty:     options.RemoteZonePenalty,
--- a/internal/frontend/deadline_test.go
+++ b/internal/frontend/deadline_test.go
@@ -61,7 +61,7 @@
 		Routes:   []*config.Route{{Name: "r", HostName: "a.example", PathPrefix: "/", RouteKind: "safe", TimeoutMs: 6000, Service: "s", Attempts: 1}},
 	}
 	gatherer := &scatter.Gatherer{
-		Upstream:    upstream.New(upstream.Options{TwoChoicesThreshold: 5, DecayTime: time.Second}),
+		Upstream:    upstream.NewPool(upstream.Options{TwoChoicesThreshold: 5, DecayTime: time.Second}),
 		RetryBudget: ratelimit.NewRetryBudget(ratelimit.BudgetOptions{Window: time.Second}, 0),
 		Now:         func() time.Duration { return 0 },
 	}
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(workers.Release)
-	pool := upstream.New(upstream.Options{
+	pool := upstream.NewPool(upstream.Options{
 		Distance: func(zone string) int { return min(len(zone), 2) }, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
 		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DistancePenalty: 9, DecayTime: time.Second,
 	})
--- a/internal/scatter/gatherer_test.go
+++ b/internal/scatter/gatherer_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(workers.Release)
-	pool := upstream.New(upstream.Options{
+	pool := upstream.NewPool(upstream.Options{
 		Distance: distance, TCPUserTimeout: time.Second, DialTimeout: time.Second, MaxBodyBytes: 1 << 20,
 		IdleTimeout: time.Minute, ConsecutiveFailures: 3, BaseEjectionTime: time.Second, TwoChoicesThreshold: 5, DecayTime: time.Second,
 	})
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -40,7 +40,7 @@
 	if !ok {
 		tb.Fatal("the table did not change")
 	}
-	pool := New(options)
+	pool := NewPool(options)
 	pool.SetTable(table)
 	return pool
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -51,8 +51,8 @@
 	rounding float64
 }
 
-// New returns an empty pool.
-func New(options Options) *Pool {
+// NewPool returns an empty pool.
+func NewPool(options Options) *Pool {
 	return &Pool{
 		OnHealthy:     func(string) {},
 		OnUnhealthy:   func(string) {},
