--- a/internal/control/rollout_api.go
+++ b/internal/control/rollout_api.go
@@ -219,7 +219,7 @@
 	return list
 }
 
-// status is an order as the operator reads it. Runs on Server.loop.
+// status is an order as the operator reads it. It runs on Server.loop.
 func (c *rolloutController) status(r consensus.Rollout, now time.Duration) RolloutStatus {
 	status := RolloutStatus{
 		Service:        r.Service,
--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -120,7 +120,7 @@
 	_ = host.Client.CallJSON(address, nodeapi.PathRolloutTotals, totals, nil, host.Heartbeats(totalsTimeout))
 }
 
-// step does what is due now. Runs on Server.loop.
+// step does what is due now. It runs on Server.loop.
 func (c *rolloutController) step() rolloutStep {
 	host := c.server.host
 	now := host.Now()
@@ -265,7 +265,7 @@
 }
 
 // versionCapacity counts by the endpoint table, without endpoints that drain.
-// Runs on the loop.
+// It runs on the loop.
 func (s *Server) versionCapacity(r consensus.Rollout) (capacity versionCapacity) {
 	if s.tables.current == nil {
 		return capacity
@@ -306,7 +306,7 @@
 	}
 }
 
-// apply follows the orders and phases of the state that was just decided. Runs on Server.loop.
+// apply follows the orders and phases of the state that was just decided. It runs on Server.loop.
 func (c *rolloutController) apply() {
 	now := c.server.host.Now()
 	state := c.server.acceptor.State
@@ -349,20 +349,20 @@
 }
 
 // persistTerms writes to disk how much of the terms has elapsed, so that a
-// restart gives no order more time. Runs on Server.loop.
+// restart gives no order more time. It runs on Server.loop.
 func (c *rolloutController) persistTerms(now time.Duration) {
 	c.termsPersistedAt = now
 	records.RolloutClockRecord.Put(c.server.store, c.clock.Record(c.isRunning, time.Now(), now), nil)
 }
 
 // elapsedTerms returns how many milliseconds of the running orders' terms have
-// elapsed, by order. Runs on Server.loop.
+// elapsed, by order. It runs on Server.loop.
 func (c *rolloutController) elapsedTerms() map[int64]int64 {
 	return c.clock.Record(c.isRunning, time.Now(), c.server.host.Now()).ElapsedMs
 }
 
 // onElapsedTerms takes the elapsed terms of another control node: the most that
-// any node knows counts. Runs on Server.loop.
+// any node knows counts. It runs on Server.loop.
 func (c *rolloutController) onElapsedTerms(elapsedMs map[int64]int64, now time.Duration) {
 	for order, ms := range elapsedMs {
 		if c.isRunning(order) {
@@ -371,13 +371,13 @@
 	}
 }
 
-// running lists the orders that are not settled. Runs on Server.loop.
+// running lists the orders that are not settled. It runs on Server.loop.
 func (c *rolloutController) running() []consensus.Rollout {
 	all := slices.Clone(c.server.acceptor.State.Rollouts)
 	return slices.DeleteFunc(all, func(r consensus.Rollout) bool { return !r.Running() })
 }
 
-// isRunning reports whether an order is not settled. Runs on Server.loop.
+// isRunning reports whether an order is not settled. It runs on Server.loop.
 func (c *rolloutController) isRunning(order int64) bool {
 	return slices.ContainsFunc(c.server.acceptor.State.Rollouts, func(r consensus.Rollout) bool {
 		return r.OrderSlot == order && r.Running()
--- a/internal/control/rollout_reports.go
+++ b/internal/control/rollout_reports.go
@@ -28,7 +28,7 @@
 }
 
 // onReport adds a front's report to this node's totals, unless it came late or
-// twice. Runs on Server.loop.
+// twice. It runs on Server.loop.
 func (c *rolloutController) onReport(report nodeapi.RolloutReport) {
 	filter := c.reportFilters[report.Name]
 	if filter == nil {
@@ -42,7 +42,7 @@
 	c.frontReports[report.Name] = frontReport{c.server.host.Now(), report.Evidence}
 }
 
-// onTotals takes the totals of another control node. Runs on Server.loop.
+// onTotals takes the totals of another control node. It runs on Server.loop.
 func (c *rolloutController) onTotals(totals nodeapi.RolloutTotals) {
 	c.peerReports[totals.ID] = peerReport{c.server.host.Now(), totals.FrontsBehind, totals.Evidence}
 	c.evaluate(c.totals.Merge(totals.ID, totals.Incarnation, totals.Seq, totals.Entries))
--- a/internal/control/watch_test.go
+++ b/internal/control/watch_test.go
@@ -13,6 +13,35 @@
 	"swiftswitch/internal/endpoints"
 )
 
+// watchAsFront locates the control nodes and watches node 1 as a new front that
+// holds nothing, and returns the endpoint table that it gets; nil after a failure.
+func watchAsFront(t *testing.T, w *testcluster.Cluster, i int) *endpoints.Table {
+	t.Helper()
+	node := w.Nodes["1"]
+	to := node.Settings().InternalAddress(w.IP(1))
+	request := nodeapi.WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, PurgeSeq: -1, Zone: []string{"z1", "z2"}[i%2], Primary: true, MaxHoldMs: 100, Locate: true}
+	var response nodeapi.WatchResponse
+	if err := node.Client.CallJSON(to, nodeapi.PathWatch, request, &response, 3*time.Second); err != nil || len(response.ControlNodes) != 3 || response.Delta != nil {
+		t.Errorf("locate: %v, %d control nodes", err, len(response.ControlNodes))
+		return nil
+	}
+	request.Locate = false
+	if err := node.Client.CallJSON(to, nodeapi.PathWatch, request, &response, 3*time.Second); err != nil {
+		t.Errorf("watch: %v", err)
+		return nil
+	}
+	d, err := nodeapi.UnpackTableDelta(response.Delta, 1<<20)
+	if err != nil {
+		t.Errorf("what came can't be read: %v", err)
+		return nil
+	}
+	table, err := (*endpoints.Table)(nil).ApplyDelta(d)
+	if err != nil {
+		t.Errorf("the first table: %v", err)
+	}
+	return table
+}
+
 // Hundreds of fronts watch one control node at the same moment, twice: each gets
 // the whole table, which is packed once for all, and is counted with its zone.
 func TestManyFrontsJoin(t *testing.T) {
@@ -28,25 +57,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				request := nodeapi.WatchRequest{Name: fmt.Sprint("many-", i), IP: "127.0.0.9", Slot: -1, PurgeSeq: -1, Zone: []string{"z1", "z2"}[i%2], Primary: true, MaxHoldMs: 100, Locate: true}
-				var response nodeapi.WatchResponse
-				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, request, &response, 3*time.Second); err != nil || len(response.ControlNodes) != 3 || response.Delta != nil {
-					t.Errorf("locate: %v, %d control nodes", err, len(response.ControlNodes))
-					return
-				}
-				request.Locate = false
-				if err := w.Nodes["1"].Client.CallJSON(to, nodeapi.PathWatch, request, &response, 3*time.Second); err != nil {
-					t.Errorf("watch: %v", err)
-					return
-				}
-				d, err := nodeapi.UnpackTableDelta(response.Delta, 1<<20)
-				if err != nil {
-					t.Errorf("what came can't be read: %v", err)
-					return
-				}
-				if tables[i], err = (*endpoints.Table)(nil).ApplyDelta(d); err != nil {
-					t.Errorf("the first table: %v", err)
-				}
+				tables[i] = watchAsFront(t, w, i)
 			}()
 		}
 		wg.Wait()
