--- a/internal/control/disseminate.go
+++ b/internal/control/disseminate.go
@@ -20,8 +20,8 @@
 }
 
 // disseminateTo names the ballot to one node. That is enough for a voter that
-// accepted the value; any other is sent the state. A node that does not confirm
-// that it has the slot on disk is told again.
+// accepted the value; any other is sent the state. To a node that does not confirm
+// that it has the slot on disk the state is sent again.
 func (s *Server) disseminateTo(ip string, ballot consensus.Ballot, state consensus.State) {
 	timeout := s.host.Heartbeats(disseminateHeartbeats)
 	request := nodeapi.LearnRequest{Slot: state.Slot, Ballot: ballot}
--- a/internal/control/lease_controller.go
+++ b/internal/control/lease_controller.go
@@ -264,11 +264,7 @@
 		}
 		l.persistGrants(done)
 	})
-	select {
-	case err = <-done:
-	case <-time.After(l.host.Heartbeats(leaseCallHeartbeats)):
-		err = ErrDiskTooSlow
-	}
+	err = awaitWrite(done, l.host.Heartbeats(leaseCallHeartbeats))
 	return response, err
 }
 
--- a/internal/control/persist.go
+++ b/internal/control/persist.go
@@ -36,8 +36,7 @@
 	r.store.PutAll(changed, func(err error) {
 		r.loop.Submit(func() {
 			if err == nil {
-				r.acceptor.MarkStateDurable(state.Slot)
-				r.wakeDurabilityWaiters()
+				r.markStateDurable(state.Slot)
 				return
 			}
 			r.retryPersistState(before)
@@ -61,8 +60,10 @@
 	})
 }
 
-// wakeDurabilityWaiters wakes those whose slot is on disk. It runs on the loop.
-func (r *replica) wakeDurabilityWaiters() {
+// markStateDurable notes that the decided state up to a slot is on disk, and
+// wakes those that wait for that. It runs on the loop.
+func (r *replica) markStateDurable(slot int64) {
+	r.acceptor.MarkStateDurable(slot)
 	r.durabilityWaiters = slices.DeleteFunc(r.durabilityWaiters, func(waiter durabilityWaiter) bool {
 		if waiter.slot > r.acceptor.DurableSlot() {
 			return false
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -62,19 +62,12 @@
 		state := s.acceptor.State
 		s.store.PutAll(records.StateRecords(state, state.Version, state.AppliedCount), func(err error) {
 			if err == nil {
-				s.loop.Submit(func() {
-					s.acceptor.MarkStateDurable(state.Slot)
-					s.wakeDurabilityWaiters()
-				})
+				s.loop.Submit(func() { s.markStateDurable(state.Slot) })
 			}
 			done <- err
 		})
 	})
-	select {
-	case err = <-done:
-	case <-time.After(config.Milliseconds(s.host.Settings().Bounds.AcknowledgeMs, persistTimeoutRatio)):
-		err = ErrDiskTooSlow
-	}
+	err = awaitWrite(done, s.acknowledgeTime(persistTimeoutRatio))
 	return held, err
 }
 
