--- a/internal/control/open.go
+++ b/internal/control/open.go
@@ -43,7 +43,8 @@
 
 // beginIncarnation raises the incarnation in stored, and draws an identity where
 // the disk has none. It returns the records that must be durable before the node
-// does anything else: a ballot, or an ID, is never used by two runs.
+// does anything else: otherwise two runs could use the same ballot, or a vote be
+// given under an identity that the next run does not have any more.
 func beginIncarnation(settings *config.Settings, store *storage.Store, stored *records.Stored) map[string][]byte {
 	stored.Incarnation++
 	initial := map[string][]byte{
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -73,8 +73,7 @@
 	// decided yet. It runs on the loop.
 	onVotersRestored()
 	// onStateLearned follows a decided state. It runs on the loop, before the
-	// state is queued for the disk: records that rest on the state only by
-	// their own slot numbers may be written earlier than it, never later.
+	// state is queued for the disk; what it queues itself is written no later.
 	onStateLearned(old, learned consensus.State)
 	// notifyWatchers wakes the long polls that wait for news. It runs on the loop.
 	notifyWatchers()
