--- a/internal/compat/golden_kinds_test.go
+++ b/internal/compat/golden_kinds_test.go
@@ -30,7 +30,7 @@
 	"record-leases":    map[string]lease.Record{},
 	"record-table":     endpoints.Table{},
 	"record-fronts":    0,
-	"record-terms":     rollout.TermRecord{},
+	"record-terms":     rollout.ClockRecord{},
 	"record-life":      int64(0),
 	"record-taken":     []consensus.AppliedChange{},
 	"value":            consensus.Value{},
--- a/internal/compat/names_test.go
+++ b/internal/compat/names_test.go
@@ -68,7 +68,7 @@
 	{records.KeyLeases, "leases"},
 	{records.KeyTable, "table"},
 	{records.KeyFrontCount, "fronts"},
-	{records.KeyTerms, "terms"},
+	{records.KeyRolloutClock, "terms"},
 	{records.KeyIncarnation, "life"},
 	{records.KeyAppliedPage, "taken-%02d"},
 
--- a/internal/compat/store_test.go
+++ b/internal/compat/store_test.go
@@ -27,7 +27,7 @@
 	Leases   map[string]lease.Record
 	Table    *endpoints.Table
 	Fronts   int
-	Terms    rollout.TermRecord
+	Terms    rollout.ClockRecord
 	State    consensus.State
 	Ballots  consensus.BallotState
 	Packed   []byte
@@ -91,7 +91,7 @@
 	value := *bare.AcceptedValue
 	value.Body = "" // it stands in Packed
 	bare.AcceptedValue = &value
-	for name, v := range map[string]any{records.KeyIdentity: all.Identity, records.KeyIncarnation: all.Life, records.KeyLeases: all.Leases, records.KeyTable: all.Table, records.KeyFrontCount: all.Fronts, records.KeyTerms: all.Terms, records.KeyBallot: records.Ballot{BallotState: bare, Packed: all.Packed}} {
+	for name, v := range map[string]any{records.KeyIdentity: all.Identity, records.KeyIncarnation: all.Life, records.KeyLeases: all.Leases, records.KeyTable: all.Table, records.KeyFrontCount: all.Fronts, records.KeyRolloutClock: all.Terms, records.KeyBallot: records.Ballot{BallotState: bare, Packed: all.Packed}} {
 		back[name] = codec.MustEncode(name, v)
 	}
 	sameRecords(t, before, back)
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -40,7 +40,7 @@
 		Stamp:          s.tables.stamp(),
 		FrontCount:     s.fronts.count,
 		RosterRevision: s.fronts.ownRoster().Revision,
-		ElapsedMs:      s.rollouts.elapsedTerms(),
+		ElapsedMs:      s.rollouts.elapsedByOrder(),
 		Draining:       s.host.Draining.Load(),
 	}
 }
@@ -54,7 +54,7 @@
 	s.fronts.onPeerCount(heartbeat.FrontCount, now)
 	s.pollLease.OnHeartbeat(heartbeat.ID, !heartbeat.Draining && !heartbeat.Ineligible, now)
 	s.pollLease.ObserveEpoch(heartbeat.Epoch, heartbeat.Holder)
-	s.rollouts.onElapsedTerms(heartbeat.ElapsedMs, now)
+	s.rollouts.onElapsedByOrder(heartbeat.ElapsedMs, now)
 	s.fronts.onRosterRevision(ip, heartbeat.RosterRevision)
 	s.peers.handoff.OnAcknowledged(ip, heartbeat.DurableSlot)
 	own := s.acceptor.State.Slot
--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -17,8 +17,8 @@
 	rolloutInterval = 0.15
 	// totalsTimeout, in heartbeats, bounds the call that sends totals to the lease holder.
 	totalsTimeout = 0.5
-	// termsInterval, in heartbeats, is how often the elapsed terms are persisted.
-	termsInterval = 1
+	// clockPersistHeartbeats, in heartbeats, is how often the elapsed terms are persisted.
+	clockPersistHeartbeats = 1
 	// laggingTTL, in heartbeats, is how long another control node's count of
 	// lagging fronts is used.
 	laggingTTL = 1
@@ -41,7 +41,7 @@
 	server *Server
 
 	// clock tells how much of each order's term has elapsed.
-	clock *rollout.TermClock
+	clock *rollout.Clock
 	// totals holds what fronts reported here and what other control nodes sent.
 	totals *rollout.Aggregator
 	// evaluators run the control charts, by order.
@@ -60,8 +60,8 @@
 	withoutLeaseAt time.Duration
 	// sequence numbers the totals that this incarnation sent or merged.
 	sequence int64
-	// termsPersistedAt is when the elapsed terms were last written to disk.
-	termsPersistedAt time.Duration
+	// clockPersistedAt is when the elapsed terms were last written to disk.
+	clockPersistedAt time.Duration
 }
 
 // knownPhase is a phase, by the slot that decided it, and when it was learned.
@@ -78,10 +78,10 @@
 	holderIP string
 }
 
-func newRolloutController(s *Server, terms rollout.TermRecord, now time.Duration) *rolloutController {
+func newRolloutController(s *Server, terms rollout.ClockRecord, now time.Duration) *rolloutController {
 	return &rolloutController{
 		server:        s,
-		clock:         rollout.NewTermClock(terms, time.Now(), now),
+		clock:         rollout.NewClock(terms, time.Now(), now),
 		totals:        rollout.NewAggregator(),
 		evaluators:    map[int64]*rollout.Evaluator{},
 		phaseKnownAt:  map[int64]knownPhase{},
@@ -129,8 +129,8 @@
 		c.reset()
 		return rolloutStep{}
 	}
-	if now-c.termsPersistedAt >= host.Heartbeats(termsInterval) {
-		c.persistTerms(now)
+	if now-c.clockPersistedAt >= host.Heartbeats(clockPersistHeartbeats) {
+		c.persistClock(now)
 	}
 	totals := c.gather()
 	if !c.server.pollLease.Holds(now) {
@@ -331,7 +331,7 @@
 		phaseKnownAt[r.OrderSlot] = knownPhase{r.Slot, now}
 		if r.Running() {
 			c.clock.AtLeast(r.OrderSlot, time.Duration(r.ElapsedMs)*time.Millisecond, now)
-			c.persistTerms(now)
+			c.persistClock(now)
 		}
 		logPhase(r)
 	}
@@ -348,22 +348,22 @@
 	events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.TargetVersion, "phase", r.Phase, "spent", elapsed, "asked", r.TargetAttempts, "of", r.TotalAttempts, "why", r.Reason, "order", r.OrderSlot)
 }
 
-// persistTerms writes to disk how much of the terms has elapsed, so that a
+// persistClock writes to disk how much of the terms has elapsed, so that a
 // restart gives no order more time. It runs on Server.loop.
-func (c *rolloutController) persistTerms(now time.Duration) {
-	c.termsPersistedAt = now
+func (c *rolloutController) persistClock(now time.Duration) {
+	c.clockPersistedAt = now
 	records.RolloutClockRecord.Put(c.server.store, c.clock.Record(c.isRunning, time.Now(), now), nil)
 }
 
-// elapsedTerms returns how many milliseconds of the running orders' terms have
+// elapsedByOrder returns how many milliseconds of the running orders' terms have
 // elapsed, by order. It runs on Server.loop.
-func (c *rolloutController) elapsedTerms() map[int64]int64 {
+func (c *rolloutController) elapsedByOrder() map[int64]int64 {
 	return c.clock.Record(c.isRunning, time.Now(), c.server.host.Now()).ElapsedMs
 }
 
-// onElapsedTerms takes the elapsed terms of another control node: the most that
+// onElapsedByOrder takes the elapsed terms of another control node: the most that
 // any node knows counts. It runs on Server.loop.
-func (c *rolloutController) onElapsedTerms(elapsedMs map[int64]int64, now time.Duration) {
+func (c *rolloutController) onElapsedByOrder(elapsedMs map[int64]int64, now time.Duration) {
 	for order, ms := range elapsedMs {
 		if c.isRunning(order) {
 			c.clock.AtLeast(order, time.Duration(ms)*time.Millisecond, now)
--- a/internal/front/internal_api.go
+++ b/internal/front/internal_api.go
@@ -46,7 +46,7 @@
 	err := s.host.Client.CallJSON(s.host.Settings().InternalAddress(ip), nodeapi.PathRelay, request, response, timeout)
 	if err != nil {
 		// The next poll asks for fronts that may do better.
-		s.watcher.rosterAskedAt.Store(0)
+		s.watcher.rosterRequestedAt.Store(0)
 	}
 	return err
 }
--- a/internal/front/layout_controller.go
+++ b/internal/front/layout_controller.go
@@ -150,7 +150,7 @@
 // onHealthy notes that an endpoint answers.
 func (c *layoutController) onHealthy(id string) {
 	c.loop.Submit(func() {
-		c.layouts.OnAnswer(id, c.host.Now())
+		c.layouts.OnHealthy(id, c.host.Now())
 		c.advance()
 	})
 }
@@ -158,7 +158,7 @@
 // onUnhealthy notes that an endpoint stopped answering.
 func (c *layoutController) onUnhealthy(id string) {
 	c.loop.Submit(func() {
-		c.layouts.OnSilent(id, c.host.Now())
+		c.layouts.OnUnhealthy(id, c.host.Now())
 		c.advance()
 	})
 }
--- a/internal/front/watch_response.go
+++ b/internal/front/watch_response.go
@@ -55,7 +55,7 @@
 	if response.Roster == nil {
 		return
 	}
-	s.watcher.rosterAskedAt.Store(int64(s.host.Now()))
+	s.watcher.rosterRequestedAt.Store(int64(s.host.Now()))
 	if s.relays != nil {
 		s.relays.SetFronts(response.Roster, s.host.Settings().NodeName)
 	}
--- a/internal/front/watcher.go
+++ b/internal/front/watcher.go
@@ -90,9 +90,9 @@
 	// unreachableRevision is the revision of the unreachable endpoints that
 	// the primary sent last.
 	unreachableRevision atomic.Int64
-	// rosterAskedAt is when the fronts of other zones were last received, 0 to
+	// rosterRequestedAt is when the fronts of other zones were last received, 0 to
 	// ask for them now.
-	rosterAskedAt atomic.Int64
+	rosterRequestedAt atomic.Int64
 	// frontCount is the greatest number of fronts that any target knows of.
 	frontCount atomic.Int64
 }
@@ -205,7 +205,7 @@
 
 // rosterDue tells whether it is time to ask for the fronts of other zones.
 func (w *controlWatcher) rosterDue() bool {
-	last := time.Duration(w.rosterAskedAt.Load())
+	last := time.Duration(w.rosterRequestedAt.Load())
 	return last == 0 || w.host.Now()-last > w.host.Heartbeats(rosterHeartbeats)
 }
 
--- a/internal/front/watcher_test.go
+++ b/internal/front/watcher_test.go
@@ -55,7 +55,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := &controlWatcher{host: newTestHost(t, c.heartbeatMs)}
-			w.rosterAskedAt.Store(int64(c.askedAt))
+			w.rosterRequestedAt.Store(int64(c.askedAt))
 			if got := w.rosterDue(); got != c.want {
 				t.Errorf("due %v, want %v", got, c.want)
 			}
--- a/internal/records/record.go
+++ b/internal/records/record.go
@@ -20,15 +20,15 @@
 
 // Keys of the records.
 const (
-	KeyIdentity    = "identity"
-	KeyIncarnation = "life"
-	KeyState       = "state"
-	KeyBody        = "body"
-	KeyBallot      = "ballot"
-	KeyLeases      = "leases"
-	KeyTable       = "table"
-	KeyFrontCount  = "fronts"
-	KeyTerms       = "terms"
+	KeyIdentity     = "identity"
+	KeyIncarnation  = "life"
+	KeyState        = "state"
+	KeyBody         = "body"
+	KeyBallot       = "ballot"
+	KeyLeases       = "leases"
+	KeyTable        = "table"
+	KeyFrontCount   = "fronts"
+	KeyRolloutClock = "terms"
 	// KeyAppliedPage is the format of the keys of the pages of applied changes.
 	KeyAppliedPage = "taken-%02d"
 )
@@ -53,7 +53,7 @@
 	// FrontCountRecord holds how many fronts there were.
 	FrontCountRecord = Record[int]{KeyFrontCount}
 	// RolloutClockRecord holds how much of the running rollouts' terms is over.
-	RolloutClockRecord = Record[rollout.TermRecord]{KeyTerms}
+	RolloutClockRecord = Record[rollout.ClockRecord]{KeyRolloutClock}
 )
 
 // Record is a record on disk: a key, and the type of the value that is stored
--- a/internal/records/stored.go
+++ b/internal/records/stored.go
@@ -22,7 +22,7 @@
 	// Table is nil where none was ever known.
 	Table        *endpoints.Table
 	FrontCount   int
-	RolloutClock rollout.TermRecord
+	RolloutClock rollout.ClockRecord
 }
 
 // Load reads all records. maxBodyBytes bounds the body of the accepted value.
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -84,7 +84,7 @@
 
 // rollbackReason tells why the rollout is to be rolled back; empty: it is not.
 func rollbackReason(f Facts, o Options, e Exposure) string {
-	termEnds := f.Elapsed >= time.Duration(lastStartRatio*float64(f.term()))
+	termEnds := f.Elapsed >= time.Duration(lastStartRatio*float64(f.duration()))
 	switch {
 	case f.Finding != "":
 		return f.Finding
@@ -101,7 +101,7 @@
 // afterCanary begins the trial once its time has come, the new version has
 // half of the old one's slots, and the fronts have evidence for it.
 func afterCanary(f Facts, o Options, e Exposure) Step {
-	early := f.Elapsed < time.Duration(o.TrialAfter*float64(f.term()))
+	early := f.Elapsed < time.Duration(o.TrialAfter*float64(f.duration()))
 	if early || f.ReadySlots == 0 || 2*f.ReadySlots < f.OldSlots {
 		return Step{}
 	}
@@ -134,14 +134,14 @@
 	return Step{}
 }
 
-func (f Facts) term() time.Duration {
+func (f Facts) duration() time.Duration {
 	return time.Duration(f.Rollout.DurationMs) * time.Millisecond
 }
 
 // trialDuration is how long the trial may last: as long as what it brings and
 // what the canary brings over the whole term keep within the exposure that is used.
 func (o Options) trialDuration(f Facts, e Exposure) time.Duration {
-	term := f.term().Seconds()
+	term := f.duration().Seconds()
 	rate := max(f.RequestRate, minRequestRate)
 	allowed := o.MaxExposureUse * (e.Share*rate*term + e.Slack)
 	canary := o.CanaryShare(e) * rate * term
--- a/internal/rollout/evaluator.go
+++ b/internal/rollout/evaluator.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// decayTerms is the part of an order's term after which a sample's weight
+	// decayPartsPerDuration is the part of an order's term after which a sample's weight
 	// has fallen to 1/e.
-	decayTerms = 5
+	decayPartsPerDuration = 5
 	// minRateSeconds keeps the request rate of an evaluator that has just
 	// started from being extrapolated from next to no time.
 	minRateSeconds = 0.5
@@ -70,7 +70,7 @@
 		charts:    map[chartKey]*metricChart{},
 		steppedAt: now,
 		startedAt: now,
-		decayTime: max(term/decayTerms, time.Millisecond),
+		decayTime: max(term/decayPartsPerDuration, time.Millisecond),
 	}
 }
 
--- a/internal/shardmap/state.go
+++ b/internal/shardmap/state.go
@@ -118,9 +118,9 @@
 	s.reassignSlots(now)
 }
 
-// OnAnswer takes that an endpoint answered fully: its shard is loaded, and its
+// OnHealthy takes that an endpoint answered fully: its shard is loaded, and its
 // leases are renewed.
-func (s *State) OnAnswer(id string, now time.Duration) {
+func (s *State) OnHealthy(id string, now time.Duration) {
 	s.ready[id] = true
 	delete(s.silent, id)
 	for _, slots := range s.slots {
@@ -132,9 +132,9 @@
 	}
 }
 
-// OnSilent takes that an endpoint stopped answering. Its leases run from the
+// OnUnhealthy takes that an endpoint stopped answering. Its leases run from the
 // first such call since it last answered.
-func (s *State) OnSilent(id string, now time.Duration) {
+func (s *State) OnUnhealthy(id string, now time.Duration) {
 	if s.silent[id] {
 		return
 	}
--- a/internal/shardmap/state_test.go
+++ b/internal/shardmap/state_test.go
@@ -49,9 +49,9 @@
 		}
 		s.SetVersions(versions, now)
 	case "answered": // answered ID
-		s.OnAnswer(arg[0], now)
+		s.OnHealthy(arg[0], now)
 	case "silent": // silent ID
-		s.OnSilent(arg[0], now)
+		s.OnUnhealthy(arg[0], now)
 	case "tick": // tick stays|switches|switches-unready
 		return expect(arg[0], tick(s, now))
 	case "holders": // holders SHARD [IDS]
