--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -126,7 +126,7 @@
 
 // handleJoin admits a node as a voter if there is a vacancy. Before the change
 // of the voters is proposed, the newcomer has the state that it is proposed on
-// on disk; before the newcomer is told, a majority of the new voters has the
+// on disk; before the newcomer is answered, a majority of the new voters has the
 // change on disk. Otherwise the loss of one further disk could lose what the
 // replaced voter had acknowledged.
 func (s *Server) handleJoin(request nodeapi.JoinRequest) nodeapi.JoinResponse {
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -59,7 +59,7 @@
 	return slices.DeleteFunc(s.host.ControlIPs(), func(ip string) bool { return ip == self })
 }
 
-// peekedPeer is a control node that told its last slot.
+// peekedPeer is a control node that answered a peek.
 type peekedPeer struct {
 	ip       string
 	response nodeapi.PeekResponse
--- a/internal/control/table_controller.go
+++ b/internal/control/table_controller.go
@@ -27,7 +27,8 @@
 type tableController struct {
 	host  *host.Host
 	store *storage.Store
-	// candidate is told of the epochs that tables were made under.
+	// candidate observes the epochs that received tables were made under. It is
+	// set before the loops run.
 	candidate *lease.Candidate
 	// changed is called after another table came into force.
 	changed func()
