--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -2,7 +2,8 @@
 
 // Acceptor is what one voter remembers: the decided state, and for the slot
 // after it the promise and the accepted value. A response may be sent only
-// once all that it tells of is durable; DurableAcceptor keeps account of that.
+// once the promise and the accepted value that it reports are durable;
+// DurableAcceptor tracks that.
 type Acceptor struct {
 	ID             string
 	State          State
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -25,13 +25,13 @@
 // never used twice: its round rises within one incarnation of the proposer,
 // and the incarnation, which is raised and durable before its first ballot,
 // tells one run of a node from the next. Hence an acceptor that accepted a value
-// under a ballot knows what was chosen once it is told that this ballot was,
+// under a ballot knows what was chosen once it learns that this ballot was,
 // without being sent the value.
 //
 // # Durability
 //
 // An acceptor's promise or accepted value must be durable before the response
-// that tells of it is sent. That holds for a response which changed nothing,
+// that reports it is sent. That holds for a response which changed nothing,
 // too, and for a rejection, since either may rest on a write that is still
 // pending or failed: DurableAcceptor.Handle names the write that each response
 // rests on. A NewerState needs no write, because a majority of the voters has
--- a/internal/consensus/durable_acceptor.go
+++ b/internal/consensus/durable_acceptor.go
@@ -26,7 +26,7 @@
 }
 
 // Restore takes what was on disk. Ballots of a slot that is decided, or not
-// the next one, say nothing any more.
+// the next one, no longer count.
 func (d *DurableAcceptor) Restore(s State, b BallotState) {
 	d.State, d.durableSlot = s, s.Slot
 	if b.Slot == s.Slot+1 {
@@ -34,9 +34,9 @@
 	}
 }
 
-// Handle answers a request. The response may be sent once the write that it
-// rests on IsDurable.
-func (d *DurableAcceptor) Handle(request Request) (response Response, restsOn int64) {
+// Handle answers a request. The response may be sent once requiredWrite
+// IsDurable.
+func (d *DurableAcceptor) Handle(request Request) (response Response, requiredWrite int64) {
 	response, changed := d.Acceptor.Handle(request)
 	if changed {
 		d.writeSeq++
--- a/internal/consensus/durable_acceptor_test.go
+++ b/internal/consensus/durable_acceptor_test.go
@@ -18,11 +18,11 @@
 	if !response.OK || d.IsDurable(first) {
 		t.Fatal("a promise counts as durable before it is")
 	}
-	if response, restsOn := d.Handle(prepare); !response.OK || d.IsDurable(restsOn) {
+	if response, requiredWrite := d.Handle(prepare); !response.OK || d.IsDurable(requiredWrite) {
 		t.Fatal("a promise asked for again is answered before it is durable")
 	}
 	lower := Request{Slot: 1, Ballot: Ballot{Round: 1, ProposerID: "c"}}
-	if response, restsOn := d.Handle(lower); response.OK || d.IsDurable(restsOn) {
+	if response, requiredWrite := d.Handle(lower); response.OK || d.IsDurable(requiredWrite) {
 		t.Fatal("a rejection tells of a promise that is not durable")
 	}
 	stored, writeSeq := d.BallotState()
@@ -35,7 +35,7 @@
 	if !d.IsDurable(first) || d.IsDurable(second) {
 		t.Fatal("the promise is durable, the value is not")
 	}
-	if _, restsOn := d.Handle(accept); d.IsDurable(restsOn) {
+	if _, requiredWrite := d.Handle(accept); d.IsDurable(requiredWrite) {
 		t.Fatal("a value sent again is acknowledged before it is durable")
 	}
 }
@@ -51,10 +51,10 @@
 	d.Handle(Request{Slot: 1, Ballot: prepare.Ballot, Value: &v})
 	d.MarkDurable(writeSeq)
 	d.Learn(d.State.Apply(v))
-	if response, restsOn := d.Handle(prepare); response.NewerState == nil || !d.IsDurable(restsOn) {
+	if response, requiredWrite := d.Handle(prepare); response.NewerState == nil || !d.IsDurable(requiredWrite) {
 		t.Fatal("a decided slot is not answered with the state")
 	}
-	if response, restsOn := d.Handle(Request{Slot: 2, Ballot: prepare.Ballot}); !response.OK || d.IsDurable(restsOn) {
+	if response, requiredWrite := d.Handle(Request{Slot: 2, Ballot: prepare.Ballot}); !response.OK || d.IsDurable(requiredWrite) {
 		t.Fatal("a promise for the next slot counts as durable")
 	}
 	if d.DurableSlot() != 0 {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -15,7 +15,8 @@
 	DecidedSlot int64 `json:"Slot"`
 	// OK: the acceptor promised, or accepted.
 	OK bool `json:"OK"`
-	// Promised is the ballot below which the acceptor rejects, zero where it has no say on the slot.
+	// Promised is the ballot below which the acceptor rejects, zero where it has
+	// no vote on the slot.
 	Promised Ballot `json:"Promised"`
 	// AcceptedBallot and AcceptedValue are what it accepted before for the
 	// slot, if anything. A promise carries them.
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -36,7 +36,7 @@
 	// ownValue is proposed where no earlier ballot may have been chosen.
 	ownValue *Value
 	// adoptedValue is the value accepted under the highest ballot,
-	// adoptedBallot, that the promises tell of.
+	// adoptedBallot, that the promises report.
 	adoptedBallot Ballot
 	adoptedValue  *Value
 	// responded holds the voters that answered in the present stage; granted
--- a/internal/consensus/rollout.go
+++ b/internal/consensus/rollout.go
@@ -38,12 +38,12 @@
 	// FromVersion is the version in force when the order came.
 	FromVersion   string `json:"From,omitempty"`
 	TargetVersion string `json:"Target"`
-	// DurationMs is the term within which the target has to be found good.
+	// DurationMs is the time within which the target has to be found good.
 	DurationMs int64 `json:"DurationMs"`
 	Phase      Phase `json:"Phase"`
 	// Slot is the slot that decided the phase.
 	Slot int64 `json:"Slot,omitempty"`
-	// ElapsedMs is how much of the term was over by then.
+	// ElapsedMs is how much of the duration was over by then.
 	ElapsedMs int64 `json:"SpentMs,omitempty"`
 	// TrialMs is how long a trial lasts on each node.
 	TrialMs int64 `json:"ForMs,omitempty"`
--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -114,7 +114,7 @@
 	return admission.Evaluate()
 }
 
-// isFinal tells whether no further report can change a decision, so that nodes
+// isFinal reports whether no further report can change a decision, so that nodes
 // that are cut off need not be waited for.
 func isFinal(decision membership.Decision) bool {
 	switch decision {
@@ -149,7 +149,7 @@
 		s.loop.Call(func() { s.peers.add(request.IP, request.ID, s.host.Now()) })
 		// Most of the state is handed over here, before the proposal lock is
 		// taken and operators' changes have to wait for it.
-		if held, ok := s.ensureDurableAt(request.IP, base, deadline); !ok || held.ID != request.ID {
+		if report, ok := s.ensureDurableAt(request.IP, base, deadline); !ok || report.ID != request.ID {
 			return nodeapi.JoinResponse{DecidedSlot: base.Slot}
 		}
 		if chosen, ok := s.changeVoters(request, base.Voters, voters, deadline); ok {
@@ -180,8 +180,8 @@
 		// Exactly this base must be on the newcomer's disk: it votes on the
 		// slot that follows it.
 		handoverDeadline := earlier(deadline, time.Now().Add(s.host.Heartbeats(baseHandoverHeartbeats)))
-		held, ok := s.ensureDurableAt(request.IP, base, handoverDeadline)
-		if !ok || held.ID != request.ID || held.Draining {
+		report, ok := s.ensureDurableAt(request.IP, base, handoverDeadline)
+		if !ok || report.ID != request.ID || report.Draining {
 			return base, false
 		}
 		if !s.propose(base, &consensus.Value{Voters: to}) {
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -202,16 +202,16 @@
 	}
 }
 
-// mergePatch gives the configuration that a patch makes of its base.
+// mergePatch returns the configuration that a patch makes of its base.
 func mergePatch(patch *config.Patch, base string) (string, error) {
-	whole, err := patch.Apply([]byte(base))
+	merged, err := patch.Apply([]byte(base))
 	if err != nil {
 		return "", &InvalidError{Reason: err}
 	}
-	if _, err := config.ParseConfiguration(whole); err != nil {
+	if _, err := config.ParseConfiguration(merged); err != nil {
 		return "", &InvalidError{Reason: err}
 	}
-	return string(whole), nil
+	return string(merged), nil
 }
 
 // readDuringProposal reads the newest state while the proposal lock is held, for
--- a/internal/control/consensus.go
+++ b/internal/control/consensus.go
@@ -20,9 +20,9 @@
 			done <- err
 			return
 		}
-		var restsOn int64
-		response, restsOn = r.respond(request)
-		if r.acceptor.IsDurable(restsOn) {
+		var requiredWrite int64
+		response, requiredWrite = r.respond(request)
+		if r.acceptor.IsDurable(requiredWrite) {
 			done <- nil
 			return
 		}
@@ -51,10 +51,10 @@
 }
 
 // respond lets the acceptor answer, and makes the response ready for the wire.
-// restsOn is the write that must be durable before it is sent. It runs on the loop.
-func (r *replica) respond(request nodeapi.ConsensusRequest) (response nodeapi.ConsensusResponse, restsOn int64) {
+// requiredWrite is the write that must be durable before it is sent. It runs on the loop.
+func (r *replica) respond(request nodeapi.ConsensusRequest) (response nodeapi.ConsensusResponse, requiredWrite int64) {
 	acceptedBefore := r.acceptor.AcceptedBallot
-	response.Response, restsOn = r.acceptor.Handle(request.Request)
+	response.Response, requiredWrite = r.acceptor.Handle(request.Request)
 	r.highestRound = max(r.highestRound, request.Ballot.Round, r.acceptor.Promised.Round)
 	if r.acceptor.AcceptedBallot != acceptedBefore {
 		r.acceptedBody = request.PackedBody
@@ -66,7 +66,7 @@
 	if response.NewerState != nil {
 		response.NewerState, response.Delta = nil, r.stateDelta(request.Slot-1)
 	}
-	return response, restsOn
+	return response, requiredWrite
 }
 
 // persistBallot writes the promise and the accepted value; the result of the
@@ -108,8 +108,9 @@
 	return response.Response, nil
 }
 
-// handleLearn takes the news that a slot is decided. The response names the slot
-// up to which this node has the state on disk.
+// handleLearn learns a decided slot from its delta, or from the value that this
+// node accepted under the chosen ballot. The response names the slot up to which
+// this node has the state on disk.
 func (r *replica) handleLearn(request nodeapi.LearnRequest) nodeapi.LearnResponse {
 	r.loop.Call(func() {
 		state := r.acceptor.State
@@ -125,7 +126,7 @@
 	return nodeapi.LearnResponse{DurableSlot: r.waitDurable()}
 }
 
-// handlePeek tells what this voter knows of the open slot; reads of other nodes ask.
+// handlePeek reports what this voter knows of the open slot, for a quorum read.
 func (r *replica) handlePeek() (response nodeapi.PeekResponse, _ error) {
 	r.loop.Call(func() {
 		response = nodeapi.PeekResponse{
--- a/internal/control/discovery_poller.go
+++ b/internal/control/discovery_poller.go
@@ -96,36 +96,36 @@
 }
 
 // catchUpTable fetches the newest table that a voter held when it granted the
-// epoch, and tells whether this node has it now. What is polled under the
+// epoch, and reports whether this node has it now. What is polled under the
 // epoch must build on that table: it is the newest that an earlier holder may
 // have made known to a majority. A voter that died since is not waited for.
 func (p *discoveryPoller) catchUpTable(epoch int64) bool {
-	var held endpoints.Stamp
+	var base endpoints.Stamp
 	var ip string
 	var newest grantorTable
 	p.loop.Call(func() {
-		held = p.tables.stamp()
-		ip, newest = p.lease.newestGrantorTable(epoch, held)
+		base = p.tables.stamp()
+		ip, newest = p.lease.newestGrantorTable(epoch, base)
 	})
 	if ip == "" {
 		return true
 	}
-	delta, err := p.fetchTable(ip, held)
+	delta, err := p.fetchTable(ip, base)
 	if err != nil {
 		events.Log(events.TableSyncFailed, "voter", newest.voterID, "err", err)
 		return false
 	}
-	reached := held
+	reached := base
 	p.loop.Call(func() { reached = p.tables.applyDelta(delta) })
 	return !reached.Before(newest.stamp)
 }
 
-// fetchTable fetches from another control node what its table holds beyond the
-// one with the stamp held.
-func (p *discoveryPoller) fetchTable(ip string, held endpoints.Stamp) (*endpoints.Delta, error) {
+// fetchTable fetches from another control node what changed since the table
+// with the stamp base.
+func (p *discoveryPoller) fetchTable(ip string, base endpoints.Stamp) (*endpoints.Delta, error) {
 	var response nodeapi.TableFetchResponse
 	err := p.host.Client.CallJSON(p.host.Settings().InternalAddress(ip), nodeapi.PathTableFetch,
-		nodeapi.TableFetchRequest{Stamp: held}, &response, p.host.Heartbeats(tableCallHeartbeats))
+		nodeapi.TableFetchRequest{Stamp: base}, &response, p.host.Heartbeats(tableCallHeartbeats))
 	if err != nil {
 		return nil, err
 	}
@@ -154,10 +154,10 @@
 // if it differs from the current one, sends it to the other control nodes. It
 // runs on loop.
 func (p *discoveryPoller) mergeList(list []endpoints.Endpoint, epoch int64) {
-	held := p.tables.stamp()
+	previous := p.tables.stamp()
 	stamp := endpoints.Stamp{Epoch: epoch, Holder: p.lease.Self, Sequence: 1}
-	if held.Epoch == stamp.Epoch && held.Holder == stamp.Holder {
-		stamp.Sequence = held.Sequence + 1
+	if previous.Epoch == stamp.Epoch && previous.Holder == stamp.Holder {
+		stamp.Sequence = previous.Sequence + 1
 	}
 	table, changed := endpoints.NextTable(p.tables.current, list, stamp)
 	if !changed {
@@ -166,6 +166,6 @@
 	events.Log(events.EndpointsChanged, "searchers", len(table.Endpoints), "epoch", stamp.Epoch, "seq", stamp.Sequence)
 	p.tables.set(table)
 	for _, ip := range p.peerIPs() {
-		p.tables.send(ip, held)
+		p.tables.send(ip, previous)
 	}
 }
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -127,21 +127,21 @@
 	state := round.state
 	for _, ip := range round.staying {
 		go func() {
-			held, ok := s.ensureDurableAt(ip, state, deadline)
+			report, ok := s.ensureDurableAt(ip, state, deadline)
 			if !ok {
 				answers <- nil
 				return
 			}
-			answers <- &held
+			answers <- &report
 		}()
 	}
 	for range round.staying {
-		held := <-answers
-		if held == nil || held.Draining {
+		report := <-answers
+		if report == nil || report.Draining {
 			continue
 		}
 		round.progress.StateReplicas++
-		if !held.Stamp.Before(round.own.Stamp) && held.FrontCount >= round.own.FrontCount {
+		if !report.Stamp.Before(round.own.Stamp) && report.FrontCount >= round.own.FrontCount {
 			round.progress.TableReplicas++
 		}
 		if round.progress.Replicated() {
--- a/internal/control/front_registry.go
+++ b/internal/control/front_registry.go
@@ -58,7 +58,7 @@
 	peerRosters map[string]peerRoster
 }
 
-// watcher is what the last long poll of a front or cache node said.
+// watcher is what the last long poll of a front or cache node reported.
 type watcher struct {
 	heardAt time.Duration
 	// overdueAt is when the next long poll must have come.
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -92,8 +92,8 @@
 	return ips
 }
 
-// heartbeatLoop sends heartbeats, and tells the failure detector that this
-// process runs.
+// heartbeatLoop sends heartbeats, and ticks the failure detector, which notices
+// where this process was paused.
 func (s *Server) heartbeatLoop() {
 	for {
 		s.loop.Call(func() {
@@ -182,7 +182,7 @@
 	return own.IP <= ip
 }
 
-// lacksMajority tells whether this node has not heard a majority of the voters
+// lacksMajority reports whether this node has not heard a majority of the voters
 // lately. It runs on loop.
 func (s *Server) lacksMajority(now time.Duration) bool {
 	heard := 0
@@ -194,8 +194,8 @@
 	return heard < len(s.acceptor.State.Voters)/2+1
 }
 
-// isolated tells whether this node can't settle anything now, because it lacks
-// a majority. It says so at once instead of waiting for time-outs, so that
+// isolated reports whether this node can't settle anything now, because it lacks
+// a majority. It answers at once instead of waiting for time-outs, so that
 // callers go on to another node.
 func (s *Server) isolated() (isolated bool) {
 	s.loop.Call(func() { isolated = s.lacksMajority(s.host.Now()) })
--- a/internal/control/join.go
+++ b/internal/control/join.go
@@ -159,11 +159,11 @@
 // has a vote or all have answered.
 func (s *Server) requestVote(voters []string) {
 	answers := make(chan bool, len(voters))
-	asked, answered := 0, 0
+	requested, answered := 0, 0
 	for answered < len(voters) {
-		if asked < len(voters) {
-			ip := voters[asked]
-			asked++
+		if requested < len(voters) {
+			ip := voters[requested]
+			requested++
 			go func() { answers <- s.sendJoin(ip) }()
 		}
 		select {
@@ -182,7 +182,7 @@
 	}
 }
 
-// sendJoin asks one voter for a vote and tells whether this node has one then.
+// sendJoin asks one voter for a vote and reports whether this node has one then.
 func (s *Server) sendJoin(ip string) bool {
 	settings := s.host.Settings()
 	request := nodeapi.JoinRequest{ID: s.acceptor.ID, IP: settings.IpAddress, DurableSlot: s.waitDurable()}
--- a/internal/control/peer_table.go
+++ b/internal/control/peer_table.go
@@ -9,7 +9,7 @@
 	"swiftswitch/internal/nodeapi"
 )
 
-// peerState is what the last heartbeat of another control node said.
+// peerState is what the last heartbeat of another control node reported.
 type peerState struct {
 	id      string
 	heardAt time.Duration
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -24,7 +24,7 @@
 func (r *replica) readQuorum(timeout time.Duration) (consensus.State, bool) {
 	deadline := time.Now().Add(timeout)
 	for attempt := 0; ; attempt++ {
-		askedAt := r.host.Now()
+		startedAt := r.host.Now()
 		state := r.State()
 		if r.owner.isolated() {
 			return state, false
@@ -32,7 +32,7 @@
 		if quorum := r.peekVoters(state); quorum.reached {
 			// The process may have been paused since it asked; then a later
 			// slot may be decided that the answers could not tell of.
-			fresh := r.host.Now()-askedAt < r.acknowledgeTime(maxReadQuorumAgeRatio)
+			fresh := r.host.Now()-startedAt < r.acknowledgeTime(maxReadQuorumAgeRatio)
 			if !quorum.hasAccepted && !quorum.isAhead && fresh {
 				return state, true
 			}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -75,9 +75,10 @@
 	// onStateLearned follows a decided state. It runs on the loop, before the
 	// state is queued for the disk; what it queues itself is written no later.
 	onStateLearned(old, learned consensus.State)
-	// notifyWatchers wakes the long polls that wait for news. It runs on the loop.
+	// notifyWatchers wakes the long polls that wait for a change. It runs on the loop.
 	notifyWatchers()
-	// disseminate tells the other nodes of a slot that the ballot decided.
+	// disseminate announces a slot that the ballot decided to the other
+	// control nodes.
 	disseminate(ballot consensus.Ballot, state consensus.State)
 }
 
--- a/internal/control/rollout_api.go
+++ b/internal/control/rollout_api.go
@@ -30,7 +30,7 @@
 	FromVersion   string          `json:"FromVersion,omitempty"`
 	Phase         consensus.Phase `json:"Phase"`
 	DurationS     float64         `json:"DurationS"`
-	// RemainingS is how much of the term is left while the order runs.
+	// RemainingS is how much of the duration is left while the order runs.
 	RemainingS float64 `json:"LeftS,omitempty"`
 	// TargetAttempts counts the attempts at the new version, TotalAttempts
 	// those at both versions.
--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -17,7 +17,7 @@
 	rolloutInterval = 0.15
 	// totalsTimeout, in heartbeats, bounds the call that sends totals to the lease holder.
 	totalsTimeout = 0.5
-	// clockPersistHeartbeats, in heartbeats, is how often the elapsed terms are persisted.
+	// clockPersistHeartbeats, in heartbeats, is how often clock is persisted.
 	clockPersistHeartbeats = 1
 	// laggingTTL, in heartbeats, is how long another control node's count of
 	// lagging fronts is used.
@@ -40,7 +40,7 @@
 type rolloutController struct {
 	server *Server
 
-	// clock tells how much of each order's term has elapsed.
+	// clock measures how much of each order's duration has elapsed.
 	clock *rollout.Clock
 	// totals holds what fronts reported here and what other control nodes sent.
 	totals *rollout.Aggregator
@@ -60,7 +60,7 @@
 	withoutLeaseAt time.Duration
 	// sequence numbers the totals that this incarnation sent or merged.
 	sequence int64
-	// clockPersistedAt is when the elapsed terms were last written to disk.
+	// clockPersistedAt is when clock was last written to disk.
 	clockPersistedAt time.Duration
 }
 
@@ -78,10 +78,10 @@
 	holderIP string
 }
 
-func newRolloutController(s *Server, terms rollout.ClockRecord, now time.Duration) *rolloutController {
+func newRolloutController(s *Server, stored rollout.ClockRecord, now time.Duration) *rolloutController {
 	return &rolloutController{
 		server:        s,
-		clock:         rollout.NewClock(terms, time.Now(), now),
+		clock:         rollout.NewClock(stored, time.Now(), now),
 		totals:        rollout.NewAggregator(),
 		evaluators:    map[int64]*rollout.Evaluator{},
 		phaseKnownAt:  map[int64]knownPhase{},
@@ -340,29 +340,29 @@
 // logPhase logs a phase that was learned.
 func logPhase(r consensus.Rollout) {
 	if r.Phase == consensus.PhaseCanary {
-		term := time.Duration(r.DurationMs) * time.Millisecond
-		events.Log(events.RolloutAccepted, "service", r.Service, "from", r.FromVersion, "to", r.TargetVersion, "term", term, "order", r.OrderSlot)
+		duration := time.Duration(r.DurationMs) * time.Millisecond
+		events.Log(events.RolloutAccepted, "service", r.Service, "from", r.FromVersion, "to", r.TargetVersion, "term", duration, "order", r.OrderSlot)
 		return
 	}
 	elapsed := time.Duration(r.ElapsedMs) * time.Millisecond
 	events.Log(events.RolloutPhaseChanged, "service", r.Service, "to", r.TargetVersion, "phase", r.Phase, "spent", elapsed, "asked", r.TargetAttempts, "of", r.TotalAttempts, "why", r.Reason, "order", r.OrderSlot)
 }
 
-// persistClock writes to disk how much of the terms has elapsed, so that a
+// persistClock writes to disk how much of the durations has elapsed, so that a
 // restart gives no order more time. It runs on Server.loop.
 func (c *rolloutController) persistClock(now time.Duration) {
 	c.clockPersistedAt = now
 	records.RolloutClockRecord.Put(c.server.store, c.clock.Record(c.isRunning, time.Now(), now), nil)
 }
 
-// elapsedByOrder returns how many milliseconds of the running orders' terms have
-// elapsed, by order. It runs on Server.loop.
+// elapsedByOrder returns how many milliseconds of the running orders' durations
+// have elapsed, by order. It runs on Server.loop.
 func (c *rolloutController) elapsedByOrder() map[int64]int64 {
 	return c.clock.Record(c.isRunning, time.Now(), c.server.host.Now()).ElapsedMs
 }
 
-// onElapsedByOrder takes the elapsed terms of another control node: the most that
-// any node knows counts. It runs on Server.loop.
+// onElapsedByOrder takes what has elapsed by the clock of another control
+// node: the most that any node knows counts. It runs on Server.loop.
 func (c *rolloutController) onElapsedByOrder(elapsedMs map[int64]int64, now time.Duration) {
 	for order, ms := range elapsedMs {
 		if c.isRunning(order) {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -28,6 +28,7 @@
 	handlers map[string]handlerFunc
 	// bootID is drawn for each run of the process. It is the high part of
 	// revisions that count within one run, so that those of two runs differ.
+	// Unlike the incarnation it is not on disk, and does not order the runs.
 	bootID int64
 
 	// replica is this node's replica of the replicated log. It is embedded, as
--- a/internal/control/state_transfer.go
+++ b/internal/control/state_transfer.go
@@ -55,7 +55,7 @@
 }
 
 // applyStateDelta learns from another node and reports whether the delta fits
-// what this node holds; one that says nothing new does. It runs on the loop.
+// what this node holds; one that is no later does. It runs on the loop.
 func (r *replica) applyStateDelta(packed *nodeapi.StateDelta, how string) bool {
 	hasState := len(r.acceptor.State.Voters) > 0
 	if packed.Slot <= r.acceptor.State.Slot && hasState {
@@ -92,13 +92,13 @@
 }
 
 // sendState brings another node up to this node's state and returns the slot up
-// to which the other has it on disk then, below 0 where it did not answer. held
-// is the slot that the other is known to hold; where it turns out to hold less
-// than that, it is sent the whole state.
-func (r *replica) sendState(ip string, held int64, timeout time.Duration) int64 {
+// to which the other has it on disk then, below 0 where it did not answer.
+// knownSlot is the slot that the other is known to have; where it turns out to
+// have less than that, it is sent the whole state.
+func (r *replica) sendState(ip string, knownSlot int64, timeout time.Duration) int64 {
 	deadline := time.Now().Add(timeout)
 	address := r.host.Settings().InternalAddress(ip)
-	for _, from := range []int64{held, consensus.NoSlot} {
+	for _, from := range []int64{knownSlot, consensus.NoSlot} {
 		var request nodeapi.LearnRequest
 		r.loop.Call(func() {
 			slot := r.acceptor.State.Slot
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -127,7 +127,7 @@
 	status.LeaseEpoch = s.pollLease.ObservedEpoch
 	status.LeaseHolder = s.pollLease.ObservedHolder
 	status.HoldsLease = s.pollLease.Holds(now)
-	if askedAt, ok := s.pollLease.LeaseStart(); ok && status.HoldsLease {
-		status.LeaseAgeMs = max(1, (now - askedAt).Milliseconds())
+	if requestedAt, ok := s.pollLease.LeaseStart(); ok && status.HoldsLease {
+		status.LeaseAgeMs = max(1, (now - requestedAt).Milliseconds())
 	}
 }
--- a/internal/control/table_controller.go
+++ b/internal/control/table_controller.go
@@ -61,33 +61,33 @@
 	return t.current.Stamp
 }
 
-// delta returns the packed difference from the table with the stamp held to the
-// current one, or the complete table where held is no longer known. It is
-// packed once for all that hold the same. There must be a current table.
-func (t *tableController) delta(held endpoints.Stamp) []byte {
+// delta returns the packed difference from the table with the stamp base to the
+// current one, or the complete table where base is no longer known. It is
+// packed once for all nodes with the same base. There must be a current table.
+func (t *tableController) delta(base endpoints.Stamp) []byte {
 	var from *endpoints.Table
 	for _, past := range t.past {
-		if past.Stamp == held {
+		if past.Stamp == base {
 			from = past
 		}
 	}
 	if from == nil {
-		held = endpoints.Stamp{}
+		base = endpoints.Stamp{}
 	}
-	packed, ok := t.deltas[held]
+	packed, ok := t.deltas[base]
 	if !ok {
 		packed = codec.Gzip(codec.MustEncode("delta", endpoints.Diff(from, t.current)))
-		t.deltas[held] = packed
+		t.deltas[base] = packed
 	}
 	return packed
 }
 
-// send brings another control node from the table with the stamp held to the
+// send brings another control node from the table with the stamp base to the
 // current one. Where the delta did not fit, the complete table follows. The
 // calls run in the background: what gets lost is sent again after a heartbeat.
-func (t *tableController) send(ip string, held endpoints.Stamp) {
+func (t *tableController) send(ip string, base endpoints.Stamp) {
 	stamp := t.current.Stamp
-	delta := t.delta(held)
+	delta := t.delta(base)
 	complete := t.delta(endpoints.Stamp{})
 	go func() {
 		address := t.host.Settings().InternalAddress(ip)
--- a/internal/control/version_cache.go
+++ b/internal/control/version_cache.go
@@ -52,13 +52,13 @@
 	return response, packed.body
 }
 
-// pack compresses the configuration in force, or its difference to the version
-// held if that one is still known and the two can be compared.
-func (v *versionCache) pack(held int64) (packed packedVersion) {
+// pack compresses the configuration in force, or its difference to
+// baseVersion if that one is still known and the two can be compared.
+func (v *versionCache) pack(baseVersion int64) (packed packedVersion) {
 	body := []byte(v.server.acceptor.State.Body)
-	if past, known := v.server.pastBody(held); known {
+	if past, known := v.server.pastBody(baseVersion); known {
 		if diff, ok := config.Diff([]byte(past), body); ok {
-			packed.response.BaseVersion = held
+			packed.response.BaseVersion = baseVersion
 			packed.response.Removed = diff.Removed
 			body = diff.Changes
 		}
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -11,7 +11,7 @@
 const (
 	// minWatchHold is the least time for which a long poll is held.
 	minWatchHold = 0.2
-	// announceDelay is how long news is held back from a watcher that wants no
+	// announceDelay is how long an update is held back from a watcher that wants no
 	// table: its primary brings the table sooner, and what follows goes along.
 	announceDelay = 0.1
 )
@@ -20,7 +20,7 @@
 // until this node knows something that the watcher lacks.
 type watchHandler struct {
 	server *Server
-	// changed is closed, and replaced, when there may be news for watchers. It
+	// changed is closed, and replaced, when there may be an update for watchers. It
 	// is owned by Server.loop.
 	changed chan struct{}
 }
@@ -29,13 +29,13 @@
 	return &watchHandler{server: s, changed: make(chan struct{})}
 }
 
-// notify wakes the polls that wait for news. It runs on Server.loop.
+// notify wakes the polls that wait for a change. It runs on Server.loop.
 func (w *watchHandler) notify() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// notifyWatchers wakes the long polls that wait for news. It runs on the loop.
+// notifyWatchers wakes the long polls that wait for a change. It runs on the loop.
 func (s *Server) notifyWatchers() { s.watch.notify() }
 
 // handle answers a long poll with what the watcher lacks, or when the time to
@@ -49,16 +49,16 @@
 	for last := false; ; {
 		var response nodeapi.WatchResponse
 		var changed chan struct{}
-		var hasNews bool
+		var hasUpdate bool
 		w.server.loop.Call(func() {
 			w.server.fronts.onWatch(request, host.Now()+hold)
-			response, hasNews = w.response(request)
+			response, hasUpdate = w.response(request)
 			changed = w.changed
 		})
 		if request.Locate {
 			return response
 		}
-		if hasNews && request.OmitTable && !last {
+		if hasUpdate && request.OmitTable && !last {
 			select {
 			case <-time.After(host.Heartbeats(announceDelay)):
 			case <-host.Stopping:
@@ -66,7 +66,7 @@
 			last = true
 			continue
 		}
-		if hasNews || last || host.Draining.Load() {
+		if hasUpdate || last || host.Draining.Load() {
 			return response
 		}
 		select {
@@ -79,9 +79,9 @@
 	}
 }
 
-// response holds what a watcher lacks. hasNews reports whether it should be sent
+// response holds what a watcher lacks. hasUpdate reports whether it should be sent
 // before the time to hold the poll is over. It runs on Server.loop.
-func (w *watchHandler) response(request nodeapi.WatchRequest) (response nodeapi.WatchResponse, hasNews bool) {
+func (w *watchHandler) response(request nodeapi.WatchRequest) (response nodeapi.WatchResponse, hasUpdate bool) {
 	s := w.server
 	now := s.host.Now()
 	state := s.acceptor.State
@@ -110,16 +110,16 @@
 	}
 	if !request.Locate && state.Slot > request.RolloutSlot {
 		response.Rollouts = state.RolloutsAfter(request.RolloutSlot)
-		hasNews = len(response.Rollouts) > 0
+		hasUpdate = len(response.Rollouts) > 0
 	}
 	if request.Primary && !request.Locate && request.UnreachableRevision != s.unreachable.revision {
 		response.UnreachableOrdinals = s.unreachable.current(now, s.host.Heartbeats(unreachableReportTTL))
-		hasNews = hasNews || len(response.UnreachableOrdinals) > 0
+		hasUpdate = hasUpdate || len(response.UnreachableOrdinals) > 0
 	}
 	if w.addTable(&response, request) {
-		hasNews = true
+		hasUpdate = true
 	}
-	return response, hasNews || state.Slot > request.Slot && state.Version > 0
+	return response, hasUpdate || state.Slot > request.Slot && state.Version > 0
 }
 
 // addTable adds the endpoint table's stamp, and the change of the table unless
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -73,6 +73,6 @@
 
 // Progress returns the newest version and endpoint table that the front holds.
 func (s *Server) Progress() (version int64, table endpoints.Stamp) {
-	held := s.progress.load()
-	return held.version, held.table
+	current := s.progress.load()
+	return current.version, current.table
 }
--- a/internal/front/watch_response.go
+++ b/internal/front/watch_response.go
@@ -108,14 +108,14 @@
 }
 
 // applyTableDelta brings the endpoint table forward. A delta that starts from
-// another table than the one held is ignored: the next response follows the
+// another table than the current one is ignored: the next response follows the
 // stamp that the node then reports.
 func (s *Server) applyTableDelta(delta *endpoints.Delta) {
-	held := s.layouts.table
-	if delta == nil || held != nil && !held.Stamp.Before(delta.To) {
+	current := s.layouts.table
+	if delta == nil || current != nil && !current.Stamp.Before(delta.To) {
 		return
 	}
-	if table, err := held.ApplyDelta(delta); err == nil {
+	if table, err := current.ApplyDelta(delta); err == nil {
 		s.setTable(table)
 	}
 }
--- a/internal/front/watcher.go
+++ b/internal/front/watcher.go
@@ -267,15 +267,15 @@
 }
 
 func (w *controlWatcher) watchRequest(poll *longPoll, isPrimary bool) nodeapi.WatchRequest {
-	settings, held := w.host.Settings(), w.progress.load()
+	settings, progress := w.host.Settings(), w.progress.load()
 	return nodeapi.WatchRequest{
 		Name:                settings.NodeName,
 		IP:                  settings.IpAddress,
 		Zone:                settings.Zone,
-		Slot:                held.slot,
-		PurgeSeq:            held.purgeSeq,
-		RolloutSlot:         held.rolloutSlot,
-		Stamp:               held.table,
+		Slot:                progress.slot,
+		PurgeSeq:            progress.purgeSeq,
+		RolloutSlot:         progress.rolloutSlot,
+		Stamp:               progress.table,
 		OmitTable:           poll.omitTable && !isPrimary,
 		Ready:               w.layouts.ready.Load() && !w.host.Draining.Load(),
 		UnreachableCount:    w.endpoints.UnhealthyCount(),
--- a/internal/membership/admission.go
+++ b/internal/membership/admission.go
@@ -87,7 +87,7 @@
 
 func (a Admission) majority() int { return len(a.Base.Voters)/2 + 1 }
 
-// anyAhead tells whether a voter knows a later slot than Base.
+// anyAhead reports whether a voter knows a later slot than Base.
 func (a Admission) anyAhead(reports map[string]Report) bool {
 	for _, r := range reports {
 		if r.Slot > a.Base.Slot {
@@ -97,7 +97,7 @@
 	return false
 }
 
-// newcomerVerified tells whether the identity that asks is the one that lives
+// newcomerVerified reports whether the identity that asks is the one that lives
 // at its address now, and stays.
 func (a Admission) newcomerVerified() bool {
 	r := a.NewcomerReport
@@ -116,10 +116,10 @@
 	return voters
 }
 
-// sharesAddress tells whether a voter is the earlier identity of the newcomer's node.
+// sharesAddress reports whether a voter is the earlier identity of the newcomer's node.
 func (a Admission) sharesAddress(v consensus.Voter) bool { return v.IP == a.Newcomer.IP }
 
-// isLeaving tells whether a voter drains: by its report, or else by its last heartbeat.
+// isLeaving reports whether a voter drains: by its report, or else by its last heartbeat.
 func (a Admission) isLeaving(v consensus.Voter, reports map[string]Report) bool {
 	if v.ID == a.Self {
 		return false
@@ -130,7 +130,7 @@
 	return a.Leaving[v.ID]
 }
 
-// isSilent tells whether a voter did not answer and a majority, the evaluating
+// isSilent reports whether a voter did not answer and a majority, the evaluating
 // voter among it, has not heard it for long.
 func (a Admission) isSilent(v consensus.Voter, reports map[string]Report) bool {
 	if _, answered := reports[v.ID]; answered || !slices.Contains(reports[a.Self].Suspected, v.ID) {
--- a/internal/membership/drain.go
+++ b/internal/membership/drain.go
@@ -2,10 +2,10 @@
 
 // DrainProgress is how far a draining node has handed over what it holds.
 type DrainProgress struct {
-	// ProposalPending tells whether the node accepted a value whose outcome it
+	// ProposalPending reports whether the node accepted a value whose outcome it
 	// does not know.
 	ProposalPending bool
-	// IsVoter tells whether the node is a voter, and StandbyAvailable whether a
+	// IsVoter reports whether the node is a voter, and StandbyAvailable whether a
 	// node that stays could take its place.
 	IsVoter          bool
 	StandbyAvailable bool
@@ -18,13 +18,13 @@
 	ToleratedFailures int
 }
 
-// Replicated tells whether the state and the table are on enough nodes that stay.
+// Replicated reports whether the state and the table are on enough nodes that stay.
 func (p DrainProgress) Replicated() bool {
 	required := min(p.ToleratedFailures+1, p.StayingNodes)
 	return p.StateReplicas >= required && p.TableReplicas >= required
 }
 
-// Complete tells whether everything that the node holds is on enough nodes
+// Complete reports whether everything that the node holds is on enough nodes
 // that stay, and its vote passed on.
 func (p DrainProgress) Complete() bool {
 	votePassedOn := !p.IsVoter || !p.StandbyAvailable
--- a/internal/membership/failure_detector.go
+++ b/internal/membership/failure_detector.go
@@ -42,7 +42,7 @@
 	return resumed
 }
 
-// paused tells whether the process has not run for longer than a tick takes.
+// paused reports whether the process has not run for longer than a tick takes.
 func (d *FailureDetector) paused(now time.Duration) bool { return now-d.lastTick > d.maxTickGap }
 
 // SetVoters sets whom to watch. The silence of a new voter counts from now on.
--- a/internal/membership/redundancy.go
+++ b/internal/membership/redundancy.go
@@ -12,12 +12,12 @@
 	DurableReplicas int
 	// ToleratedFailures is how many nodes may fail without loss of data.
 	ToleratedFailures int
-	// JustStarted tells whether this node started a short while ago, so that
+	// JustStarted reports whether this node started a short while ago, so that
 	// others may still come.
 	JustStarted bool
 }
 
-// Sufficient tells whether the change may be acknowledged: whether it stays on
+// Sufficient reports whether the change may be acknowledged: whether it stays on
 // a disk, however many nodes fail that are to be tolerated.
 func (r Redundancy) Sufficient() bool {
 	if r.Voters < 2*r.ToleratedFailures+1 && (r.JustStarted || r.StandbyNodes > 0) {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -33,8 +33,8 @@
 	ifMatch  string
 	body     []byte
 	deadline time.Time
-	// candidates are the nodes not asked yet, the best first; last is the one
-	// asked last.
+	// candidates are the nodes without an attempt yet, the best first; last is
+	// the one with the latest attempt.
 	candidates []string
 	last       string
 	// pending is the number of attempts whose outcome was not read from
@@ -97,8 +97,8 @@
 
 // run returns the first answer that settles the call, or nil.
 func (f *forwarding) run() *transport.Response {
-	end := time.NewTimer(time.Until(f.deadline))
-	defer end.Stop()
+	expired := time.NewTimer(time.Until(f.deadline))
+	defer expired.Stop()
 	hedge := time.NewTicker(f.hedgeInterval())
 	defer hedge.Stop()
 	f.attemptNext()
@@ -119,7 +119,7 @@
 		case <-hedge.C:
 			f.node.recordAnswer(f.last, false)
 			f.attemptNext()
-		case <-end.C:
+		case <-expired.C:
 			return nil
 		case <-f.node.Stopping:
 			return nil
@@ -152,7 +152,7 @@
 }
 
 // attempt sends the call to one node. Every answer that is not a server error
-// settles it, also a 404: it is given after a majority was asked.
+// settles it, also a 404: it is given only after a majority answered.
 func (f *forwarding) attempt(ip string, header map[string]string, timeout time.Duration) {
 	response, err := f.node.Client.Do(f.node.Settings().InternalAddress(ip), f.method, f.path, header, f.body, timeout)
 	settled := err == nil && response.Status < http.StatusInternalServerError
--- a/internal/records/record.go
+++ b/internal/records/record.go
@@ -52,7 +52,8 @@
 	TableRecord = Record[*endpoints.Table]{KeyTable}
 	// FrontCountRecord holds how many fronts there were.
 	FrontCountRecord = Record[int]{KeyFrontCount}
-	// RolloutClockRecord holds how much of the running rollouts' terms is over.
+	// RolloutClockRecord holds how much of the running rollouts' durations
+	// is over.
 	RolloutClockRecord = Record[rollout.ClockRecord]{KeyRolloutClock}
 )
 
--- a/internal/records/state.go
+++ b/internal/records/state.go
@@ -57,8 +57,8 @@
 	return changed
 }
 
-// loadState reads the decided state and what the acceptor said about the slot
-// after it. acceptedBody is the compressed body of the accepted value.
+// loadState reads the decided state and what the acceptor promised and accepted
+// for the slot after it. acceptedBody is the compressed body of the accepted value.
 func loadState(store *storage.Store, maxBodyBytes int) (state consensus.State, ballot consensus.BallotState, acceptedBody []byte, err error) {
 	var body Body
 	var stored Ballot
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -15,7 +15,7 @@
 // Facts are what a decision rests on.
 type Facts struct {
 	Rollout consensus.Rollout
-	// Elapsed is how much of the term is over, PhaseAge how long this node has
+	// Elapsed is how much of the duration is over, PhaseAge how long this node has
 	// known the present phase.
 	Elapsed, PhaseAge time.Duration
 	// Finding is what the charts found against the new version, if anything.
@@ -48,9 +48,9 @@
 }
 
 const (
-	// lastStartRatio is the part of the term after which nothing new is begun.
+	// lastStartRatio is the part of the duration after which nothing new is begun.
 	lastStartRatio = 0.95
-	// maxTrialRatio is the part of the term that the trial may take at most.
+	// maxTrialRatio is the part of the duration that the trial may take at most.
 	maxTrialRatio = 0.15
 	// minTrialRequests is how many requests a trial must have had before a
 	// lack of good answers counts against the version.
@@ -63,7 +63,8 @@
 //
 //	canary -> trial -> promote -> completed
 //
-// and rolled back from any of them on a finding, or from the first two at the term's end.
+// and rolled back from any of them on a finding, or from the first two at the end of the
+// duration.
 func Decide(f Facts, o Options, e Exposure) Step {
 	if !f.Rollout.Running() {
 		return Step{}
@@ -84,13 +85,13 @@
 
 // rollbackReason tells why the rollout is to be rolled back; empty: it is not.
 func rollbackReason(f Facts, o Options, e Exposure) string {
-	termEnds := f.Elapsed >= time.Duration(lastStartRatio*float64(f.duration()))
+	expires := f.Elapsed >= time.Duration(lastStartRatio*float64(f.duration()))
 	switch {
 	case f.Finding != "":
 		return f.Finding
 	case f.Evidence.MajorityAlarm() && !f.Successor:
 		return "the charts of most fronts"
-	case !termEnds || f.Rollout.Phase == consensus.PhasePromote:
+	case !expires || f.Rollout.Phase == consensus.PhasePromote:
 		return ""
 	case f.Rollout.Phase == consensus.PhaseCanary && f.Evidence.Insufficient(o.CanaryShare(e)):
 		return "too few good answers by its term"
@@ -139,14 +140,14 @@
 }
 
 // trialDuration is how long the trial may last: as long as what it brings and
-// what the canary brings over the whole term keep within the exposure that is used.
+// what the canary brings over the whole duration keep within the exposure that is used.
 func (o Options) trialDuration(f Facts, e Exposure) time.Duration {
-	term := f.duration().Seconds()
+	duration := f.duration().Seconds()
 	rate := max(f.RequestRate, minRequestRate)
-	allowed := o.MaxExposureUse * (e.Share*rate*term + e.Slack)
-	canary := o.CanaryShare(e) * rate * term
+	allowed := o.MaxExposureUse * (e.Share*rate*duration + e.Slack)
+	canary := o.CanaryShare(e) * rate * duration
 	seconds := (allowed - canary) / (rate * o.TrialShare)
-	return time.Duration(max(0, min(seconds, maxTrialRatio*term)) * float64(time.Second))
+	return time.Duration(max(0, min(seconds, maxTrialRatio*duration)) * float64(time.Second))
 }
 
 // CanaryShare is the share of the requests that goes to the new version in the
--- a/internal/rollout/evaluator.go
+++ b/internal/rollout/evaluator.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// decayPartsPerDuration is the part of an order's term after which a sample's weight
-	// has fallen to 1/e.
+	// decayPartsPerDuration is the part of an order's duration, as a divisor,
+	// after which a sample's weight has fallen to 1/e.
 	decayPartsPerDuration = 5
 	// minRateSeconds keeps the request rate of an evaluator that has just
 	// started from being extrapolated from next to no time.
@@ -63,14 +63,14 @@
 	NewAttempts, OldAttempts, GoodAnswers int64
 }
 
-// NewEvaluator starts the charts of an order with that term.
-func NewEvaluator(o Options, term, now time.Duration) *Evaluator {
+// NewEvaluator starts the charts of an order with that duration.
+func NewEvaluator(o Options, duration, now time.Duration) *Evaluator {
 	return &Evaluator{
 		options:   o,
 		charts:    map[chartKey]*metricChart{},
 		steppedAt: now,
 		startedAt: now,
-		decayTime: max(term/decayPartsPerDuration, time.Millisecond),
+		decayTime: max(duration/decayPartsPerDuration, time.Millisecond),
 	}
 }
 
--- a/internal/rollout/options.go
+++ b/internal/rollout/options.go
@@ -27,7 +27,7 @@
 	// version in the trial, MaxExposureUse the part of the whole exposure that
 	// canary and trial may use up.
 	CanaryRatio, TrialShare, MaxExposureUse float64
-	// TrialAfter, a part of the order's term, is when the trial may begin.
+	// TrialAfter, a part of the order's duration, is when the trial may begin.
 	TrialAfter float64
 }
 
--- a/internal/shardmap/state.go
+++ b/internal/shardmap/state.go
@@ -118,7 +118,7 @@
 	s.reassignSlots(now)
 }
 
-// OnHealthy takes that an endpoint answered fully: its shard is loaded, and its
+// OnHealthy notes that an endpoint answered fully: its shard is loaded, and its
 // leases are renewed.
 func (s *State) OnHealthy(id string, now time.Duration) {
 	s.ready[id] = true
@@ -132,7 +132,7 @@
 	}
 }
 
-// OnUnhealthy takes that an endpoint stopped answering. Its leases run from the
+// OnUnhealthy notes that an endpoint stopped answering. Its leases run from the
 // first such call since it last answered.
 func (s *State) OnUnhealthy(id string, now time.Duration) {
 	if s.silent[id] {
