--- a/internal/testcluster/operator.go
+++ b/internal/testcluster/operator.go
@@ -18,6 +18,13 @@
 // operatorTimeout is how long an operator's call of a test waits.
 const operatorTimeout = 5 * time.Second
 
+// rolloutRetryTime is for how long a rollout that is put off is requested
+// again, at rolloutRetryInterval.
+const (
+	rolloutRetryTime     = 5 * time.Second
+	rolloutRetryInterval = 50 * time.Millisecond
+)
+
 // maxRetryAfterS is the longest Retry-After that a node may give, in seconds.
 const maxRetryAfterS = 0.5
 
@@ -44,17 +51,23 @@
 // Operate sends an operator's call to node n. match is its If-Match, if not
 // empty. The status is 0 if there is no answer.
 func (c *Cluster) Operate(n int, method, path, match, body string) (status int, answer string) {
+	status, _, answer = c.operate(n, method, path, match, body)
+	return status, answer
+}
+
+// operate is Operate, and returns the answer's headers too.
+func (c *Cluster) operate(n int, method, path, match, body string) (status int, header http.Header, answer string) {
 	request, _ := http.NewRequest(method, "http://"+c.operatorAddress(n)+path, strings.NewReader(body))
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
 	response, err := operatorClient().Do(request)
 	if err != nil {
-		return 0, err.Error()
+		return 0, nil, err.Error()
 	}
 	defer func() { _ = response.Body.Close() }()
 	raw, _ := io.ReadAll(response.Body)
-	return response.StatusCode, string(raw)
+	return response.StatusCode, response.Header, string(raw)
 }
 
 // PostOperator posts an operator's call to node n's port for other nodes, with
@@ -81,9 +94,18 @@
 	}
 }
 
-// StartRollout requests a rollout of the plain service by way of node n.
+// StartRollout requests a rollout of the plain service by way of node n. As
+// callers do, it sends the request again when the node puts it off with a 503
+// and a Retry-After: a node that got no processor time for a while rejects a
+// request that may have waited in its sockets as long.
 func (c *Cluster) StartRollout(n int, target string, seconds float64) (status int, answer string) {
-	return c.Operate(n, "POST", nodeapi.PathRollouts, "", fmt.Sprintf(`{"Service":"plain","TargetVersion":%q,"DurationS":%v}`, target, seconds))
+	request := fmt.Sprintf(`{"Service":"plain","TargetVersion":%q,"DurationS":%v}`, target, seconds)
+	for deadline := time.Now().Add(rolloutRetryTime); ; time.Sleep(rolloutRetryInterval) {
+		status, header, answer := c.operate(n, "POST", nodeapi.PathRollouts, "", request)
+		if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || time.Now().After(deadline) {
+			return status, answer
+		}
+	}
 }
 
 // Rollout reads the status of the plain service's rollout from node n.
