--- a/internal/control/admission.go
+++ b/internal/control/admission.go
@@ -149,7 +149,7 @@
 		s.loop.Call(func() { s.peers.add(request.IP, request.ID, s.host.Now()) })
 		// Most of the state is handed over here, before the proposal lock is
 		// taken and operators' changes have to wait for it.
-		if report, ok := s.ensureDurableAt(request.IP, base, deadline); !ok || report.ID != request.ID {
+		if heartbeat, ok := s.ensureDurableAt(request.IP, base, deadline); !ok || heartbeat.ID != request.ID {
 			return nodeapi.JoinResponse{DecidedSlot: base.Slot}
 		}
 		if chosen, ok := s.changeVoters(request, base.Voters, voters, deadline); ok {
@@ -180,8 +180,8 @@
 		// Exactly this base must be on the newcomer's disk: it votes on the
 		// slot that follows it.
 		handoverDeadline := earlier(deadline, time.Now().Add(s.host.Heartbeats(baseHandoverHeartbeats)))
-		report, ok := s.ensureDurableAt(request.IP, base, handoverDeadline)
-		if !ok || report.ID != request.ID || report.Draining {
+		heartbeat, ok := s.ensureDurableAt(request.IP, base, handoverDeadline)
+		if !ok || heartbeat.ID != request.ID || heartbeat.Draining {
 			return base, false
 		}
 		if !s.propose(base, &consensus.Value{Voters: to}) {
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -127,21 +127,21 @@
 	state := round.state
 	for _, ip := range round.staying {
 		go func() {
-			report, ok := s.ensureDurableAt(ip, state, deadline)
+			heartbeat, ok := s.ensureDurableAt(ip, state, deadline)
 			if !ok {
 				answers <- nil
 				return
 			}
-			answers <- &report
+			answers <- &heartbeat
 		}()
 	}
 	for range round.staying {
-		report := <-answers
-		if report == nil || report.Draining {
+		heartbeat := <-answers
+		if heartbeat == nil || heartbeat.Draining {
 			continue
 		}
 		round.progress.StateReplicas++
-		if !report.Stamp.Before(round.own.Stamp) && report.FrontCount >= round.own.FrontCount {
+		if !heartbeat.Stamp.Before(round.own.Stamp) && heartbeat.FrontCount >= round.own.FrontCount {
 			round.progress.TableReplicas++
 		}
 		if round.progress.Replicated() {
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -13,16 +13,16 @@
 
 // Times of heartbeats, in heartbeat intervals.
 const (
-	// heartbeatPeriod is the time between two rounds of heartbeats.
-	heartbeatPeriod = 0.4
-	// heartbeatCall bounds one heartbeat and its answer.
-	heartbeatCall = 0.8
-	// recentHeartbeat is within which time a peer must have been heard for its
+	// sendPeriodHeartbeats is the time between two rounds of heartbeats.
+	sendPeriodHeartbeats = 0.4
+	// heartbeatCallHeartbeats bounds one heartbeat and its answer.
+	heartbeatCallHeartbeats = 0.8
+	// recentlyHeardHeartbeats is within which time a peer must have been heard for its
 	// own heartbeats to stand for this node's.
-	recentHeartbeat = 0.6
-	// majorityHeardWithin is within which time a voter must have been heard to
+	recentlyHeardHeartbeats = 0.6
+	// majorityHeardHeartbeats is within which time a voter must have been heard to
 	// count for the majority.
-	majorityHeardWithin = 2
+	majorityHeardHeartbeats = 2
 )
 
 // heartbeat describes this node. It runs on loop.
@@ -105,7 +105,7 @@
 		select {
 		case <-s.host.Stopping:
 			return
-		case <-time.After(s.host.Heartbeats(heartbeatPeriod)):
+		case <-time.After(s.host.Heartbeats(sendPeriodHeartbeats)):
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	out.noPeers = len(peers) == 0
 	for _, ip := range peers {
 		peer, heard := s.peers.byIP[ip]
-		recent := heard && out.sent-peer.heardAt < s.host.Heartbeats(recentHeartbeat)
+		recent := heard && out.sent-peer.heardAt < s.host.Heartbeats(recentlyHeardHeartbeats)
 		if !recent || out.message.Draining || s.initiatesHeartbeat(out.message, ip, peer) {
 			out.to = append(out.to, ip)
 		}
@@ -156,7 +156,7 @@
 // sendHeartbeat sends a heartbeat to one node and takes the answer.
 func (s *Server) sendHeartbeat(out outgoingHeartbeat, ip string) {
 	var answer nodeapi.Heartbeat
-	err := s.host.Client.CallJSON(s.host.Settings().InternalAddress(ip), nodeapi.PathHeartbeat, out.message, &answer, s.host.Heartbeats(heartbeatCall))
+	err := s.host.Client.CallJSON(s.host.Settings().InternalAddress(ip), nodeapi.PathHeartbeat, out.message, &answer, s.host.Heartbeats(heartbeatCallHeartbeats))
 	if err != nil {
 		return
 	}
@@ -187,7 +187,7 @@
 func (s *Server) lacksMajority(now time.Duration) bool {
 	heard := 0
 	for _, v := range s.acceptor.State.Voters {
-		if v.ID == s.acceptor.ID || s.pollLease.SilentFor(v.ID, now) < s.host.Heartbeats(majorityHeardWithin) {
+		if v.ID == s.acceptor.ID || s.pollLease.SilentFor(v.ID, now) < s.host.Heartbeats(majorityHeardHeartbeats) {
 			heard++
 		}
 	}
--- a/internal/control/replication.go
+++ b/internal/control/replication.go
@@ -54,11 +54,11 @@
 // persistAndReport answers a PathPersist call: its heartbeat describes what
 // this node has on disk. The answer leaves after a write that was queued behind
 // all earlier ones; the store writes in order.
-func (s *Server) persistAndReport() (report nodeapi.Heartbeat, err error) {
+func (s *Server) persistAndReport() (heartbeat nodeapi.Heartbeat, err error) {
 	done := make(chan error, 1)
 	s.loop.Call(func() {
-		report = s.heartbeat()
-		report.FrontCount = s.fronts.persistedCount
+		heartbeat = s.heartbeat()
+		heartbeat.FrontCount = s.fronts.persistedCount
 		state := s.acceptor.State
 		s.store.PutAll(records.StateRecords(state, state.Version, state.AppliedCount), func(err error) {
 			if err == nil {
@@ -68,28 +68,28 @@
 		})
 	})
 	err = awaitWrite(done, s.acknowledgeTime(persistTimeoutRatio))
-	return report, err
+	return heartbeat, err
 }
 
 // ensureDurableAt makes sure that another node has a state, or a later one, on
-// disk: it asks, sends the state where it is missing, and asks again. report is
-// what the node said last; ok is false where the deadline passed.
-func (s *Server) ensureDurableAt(ip string, state consensus.State, deadline time.Time) (report nodeapi.Heartbeat, ok bool) {
+// disk: it asks, sends the state where it is missing, and asks again. heartbeat
+// is the node's last answer; ok is false where the deadline passed.
+func (s *Server) ensureDurableAt(ip string, state consensus.State, deadline time.Time) (heartbeat nodeapi.Heartbeat, ok bool) {
 	address := s.host.Settings().InternalAddress(ip)
 	for {
 		timeout := min(s.host.Heartbeats(persistCallHeartbeats), time.Until(deadline))
 		if timeout <= 0 {
-			return report, false
+			return heartbeat, false
 		}
-		err := s.host.Client.CallJSON(address, nodeapi.PathPersist, struct{}{}, &report, timeout)
+		err := s.host.Client.CallJSON(address, nodeapi.PathPersist, struct{}{}, &heartbeat, timeout)
 		switch {
 		case err != nil:
 			time.Sleep(min(s.host.Heartbeats(persistRetryHeartbeats), max(0, time.Until(deadline))))
-		case report.DecidedSlot >= state.Slot:
-			s.loop.Submit(func() { s.peers.handoff.OnAcknowledged(ip, report.DecidedSlot) })
-			return report, true
+		case heartbeat.DecidedSlot >= state.Slot:
+			s.loop.Submit(func() { s.peers.handoff.OnAcknowledged(ip, heartbeat.DecidedSlot) })
+			return heartbeat, true
 		default:
-			s.sendState(ip, report.DecidedSlot, timeout)
+			s.sendState(ip, heartbeat.DecidedSlot, timeout)
 		}
 	}
 }
@@ -117,11 +117,11 @@
 // on disk.
 func (s *Server) durableAtVoter(v consensus.Voter, state consensus.State, deadline time.Time) bool {
 	if v.ID == s.acceptor.ID {
-		report, err := s.persistAndReport()
-		return err == nil && report.DecidedSlot >= state.Slot
+		heartbeat, err := s.persistAndReport()
+		return err == nil && heartbeat.DecidedSlot >= state.Slot
 	}
-	report, ok := s.ensureDurableAt(v.IP, state, deadline)
-	return ok && report.ID == v.ID
+	heartbeat, ok := s.ensureDurableAt(v.IP, state, deadline)
+	return ok && heartbeat.ID == v.ID
 }
 
 // redundancy counts the replicas of what was decided up to a slot. It runs on loop.
--- a/internal/control/rollout_controller.go
+++ b/internal/control/rollout_controller.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// rolloutInterval, in heartbeats, is the pause between two steps of the controller.
-	rolloutInterval = 0.15
-	// totalsTimeout, in heartbeats, bounds the call that sends totals to the lease holder.
-	totalsTimeout = 0.5
+	// rolloutStepHeartbeats, in heartbeats, is the pause between two steps of the controller.
+	rolloutStepHeartbeats = 0.15
+	// totalsCallHeartbeats, in heartbeats, bounds the call that sends totals to the lease holder.
+	totalsCallHeartbeats = 0.5
 	// clockPersistHeartbeats, in heartbeats, is how often clock is persisted.
 	clockPersistHeartbeats = 1
-	// laggingTTL, in heartbeats, is how long another control node's count of
+	// laggingTTLHeartbeats, in heartbeats, is how long another control node's count of
 	// lagging fronts is used.
-	laggingTTL = 1
-	// evaluationDelay, in heartbeats, is how long an attempt takes from a front to the charts.
-	evaluationDelay = 0.6
+	laggingTTLHeartbeats = 1
+	// evaluationDelayHeartbeats, in heartbeats, is how long an attempt takes from a front to the charts.
+	evaluationDelayHeartbeats = 0.6
 	// settleRatio, of Bounds.ConfigEffectMs, bounds the wait for lagging fronts
 	// before a promotion is completed.
 	settleRatio = 0.5
@@ -99,7 +99,7 @@
 		select {
 		case <-host.Stopping:
 			return
-		case <-time.After(host.Heartbeats(rolloutInterval)):
+		case <-time.After(host.Heartbeats(rolloutStepHeartbeats)):
 		}
 		var step rolloutStep
 		c.server.loop.Call(func() { step = c.step() })
@@ -117,7 +117,7 @@
 func (c *rolloutController) sendTotals(ip string, totals nodeapi.RolloutTotals) {
 	host := c.server.host
 	address := host.Settings().InternalAddress(ip)
-	_ = host.Client.CallJSON(address, nodeapi.PathRolloutTotals, totals, nil, host.Heartbeats(totalsTimeout))
+	_ = host.Client.CallJSON(address, nodeapi.PathRolloutTotals, totals, nil, host.Heartbeats(totalsCallHeartbeats))
 }
 
 // step does what is due now. It runs on Server.loop.
@@ -242,13 +242,13 @@
 		ReadySlots:    capacity.targetWarm,
 		OldSlots:      capacity.from,
 		LaggingNodes:  own.FrontsBehind[r.OrderSlot],
-		ReportDelay:   host.Heartbeats(evaluationDelay),
+		ReportDelay:   host.Heartbeats(evaluationDelayHeartbeats),
 		SettleTimeout: config.Milliseconds(host.Settings().Bounds.ConfigEffectMs, settleRatio),
 	}
 	// Shortly after the lease changed hands, not all fronts may have reported here.
-	facts.Successor = now-c.withoutLeaseAt < facts.SettleTimeout
+	facts.LeaseJustAcquired = now-c.withoutLeaseAt < facts.SettleTimeout
 	for _, report := range c.peerReports {
-		if now-report.at < host.Heartbeats(laggingTTL) {
+		if now-report.at < host.Heartbeats(laggingTTLHeartbeats) {
 			facts.LaggingNodes += report.lagging[r.OrderSlot]
 		}
 		if now-report.at < host.Heartbeats(evidenceTTL) {
--- a/internal/control/unreachable.go
+++ b/internal/control/unreachable.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// unreachableReportTTL, in heartbeats, is how long a front's report counts.
-	unreachableReportTTL = 2
+	// unreachableReportTTLHeartbeats, in heartbeats, is how long a front's report counts.
+	unreachableReportTTLHeartbeats = 2
 	// announceInterval, in heartbeats, is how long changes are collected
 	// before the watchers are woken: many fronts report at the same moment.
 	announceInterval = 0.1
@@ -111,7 +111,7 @@
 func (s *Server) onUnreachableReport(report nodeapi.UnreachableReport) {
 	now := s.host.Now()
 	zone := s.fronts.around(s.fronts.zoneOf(report.Name)).zone
-	reportTTL := s.host.Heartbeats(unreachableReportTTL)
+	reportTTL := s.host.Heartbeats(unreachableReportTTLHeartbeats)
 	changed := s.unreachable.onReport(report, requiredReporters(zone), now, reportTTL, s.host.UnreachableTTL())
 	if !changed || s.unreachable.announcing {
 		return
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -9,11 +9,11 @@
 
 // Times of long polls, in heartbeats.
 const (
-	// minWatchHold is the least time for which a long poll is held.
-	minWatchHold = 0.2
-	// announceDelay is how long an update is held back from a watcher that wants no
+	// minWatchHoldHeartbeats is the least time for which a long poll is held.
+	minWatchHoldHeartbeats = 0.2
+	// announceDelayHeartbeats is how long an update is held back from a watcher that wants no
 	// table: its primary brings the table sooner, and what follows goes along.
-	announceDelay = 0.1
+	announceDelayHeartbeats = 0.1
 )
 
 // watchHandler answers the long polls of fronts and cache nodes: a poll is held
@@ -43,7 +43,7 @@
 func (w *watchHandler) handle(request nodeapi.WatchRequest) nodeapi.WatchResponse {
 	host := w.server.host
 	hold := time.Duration(request.MaxHoldMs) * time.Millisecond
-	hold = max(host.Heartbeats(minWatchHold), min(host.LongPollTimeout(), hold))
+	hold = max(host.Heartbeats(minWatchHoldHeartbeats), min(host.LongPollTimeout(), hold))
 	expired := time.NewTimer(hold)
 	defer expired.Stop()
 	for last := false; ; {
@@ -60,7 +60,7 @@
 		}
 		if hasUpdate && request.OmitTable && !last {
 			select {
-			case <-time.After(host.Heartbeats(announceDelay)):
+			case <-time.After(host.Heartbeats(announceDelayHeartbeats)):
 			case <-host.Stopping:
 			}
 			last = true
@@ -113,7 +113,7 @@
 		hasUpdate = len(response.Rollouts) > 0
 	}
 	if request.Primary && !request.Locate && request.UnreachableRevision != s.unreachable.revision {
-		response.UnreachableOrdinals = s.unreachable.current(now, s.host.Heartbeats(unreachableReportTTL))
+		response.UnreachableOrdinals = s.unreachable.current(now, s.host.Heartbeats(unreachableReportTTLHeartbeats))
 		hasUpdate = hasUpdate || len(response.UnreachableOrdinals) > 0
 	}
 	if w.addTable(&response, request) {
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -26,9 +26,9 @@
 	GoodAnswers int64
 	// Evidence is what the fronts have counted since the order began.
 	Evidence Evidence
-	// Successor: this node acquired the lease so lately that not all fronts
+	// LeaseJustAcquired: this node acquired the lease so lately that not all fronts
 	// may have reported to it.
-	Successor bool
+	LeaseJustAcquired bool
 	// ReadySlots counts the slots of the new version's endpoints that are not
 	// warming up, OldSlots those of the old version's.
 	ReadySlots, OldSlots int
@@ -89,7 +89,7 @@
 	switch {
 	case f.Finding != "":
 		return f.Finding
-	case f.Evidence.MajorityAlarm() && !f.Successor:
+	case f.Evidence.MajorityAlarm() && !f.LeaseJustAcquired:
 		return "the charts of most fronts"
 	case !expires || f.Rollout.Phase == consensus.PhasePromote:
 		return ""
@@ -106,7 +106,7 @@
 	if early || f.ReadySlots == 0 || 2*f.ReadySlots < f.OldSlots {
 		return Step{}
 	}
-	if f.Successor || f.Evidence.Insufficient(o.CanaryShare(e)) {
+	if f.LeaseJustAcquired || f.Evidence.Insufficient(o.CanaryShare(e)) {
 		return Step{}
 	}
 	return Step{Phase: consensus.PhaseTrial, TrialDuration: o.trialDuration(f, e), Reason: "nothing found against it"}
@@ -116,7 +116,7 @@
 // evaluated.
 func afterTrial(f Facts) Step {
 	trial := time.Duration(f.Rollout.TrialMs) * time.Millisecond
-	if f.PhaseAge < trial+f.ReportDelay || f.ReadySlots == 0 || f.Successor {
+	if f.PhaseAge < trial+f.ReportDelay || f.ReadySlots == 0 || f.LeaseJustAcquired {
 		return Step{}
 	}
 	// Where requests come, some of the new version's must have been answered.
--- a/internal/rollout/decide_test.go
+++ b/internal/rollout/decide_test.go
@@ -47,11 +47,13 @@
 		"requests and answers": {func(f *Facts) {
 			f.Rollout.Phase, f.Elapsed, f.Evidence = consensus.PhaseCanary, 10*time.Second, Evidence{Fronts: 2, New: 30, Good: 29, Old: 1500}
 		}, consensus.PhaseTrial},
-		"a successor has not heard all": {func(f *Facts) { f.Rollout.Phase, f.Elapsed, f.Successor = consensus.PhaseCanary, 10*time.Second, true }, ""},
+		"a successor has not heard all": {func(f *Facts) {
+			f.Rollout.Phase, f.Elapsed, f.LeaseJustAcquired = consensus.PhaseCanary, 10*time.Second, true
+		}, ""},
 		"those that spoke first are not most": {func(f *Facts) {
-			f.Rollout.Phase, f.Successor, f.Evidence = consensus.PhaseCanary, true, Evidence{Fronts: 1, Alarms: 1, New: 4, Old: 50}
+			f.Rollout.Phase, f.LeaseJustAcquired, f.Evidence = consensus.PhaseCanary, true, Evidence{Fronts: 1, Alarms: 1, New: 4, Old: 50}
 		}, ""},
-		"nor in the trial": {func(f *Facts) { f.Rollout.Phase, f.Successor = consensus.PhaseTrial, true }, ""},
+		"nor in the trial": {func(f *Facts) { f.Rollout.Phase, f.LeaseJustAcquired = consensus.PhaseTrial, true }, ""},
 		"settled":          {func(f *Facts) { f.Rollout.Phase, f.Finding = consensus.PhaseCompleted, "x" }, ""},
 	} {
 		f := good
