--- a/internal/front/doc.go
+++ b/internal/front/doc.go
@@ -1,4 +1,4 @@
-// Package front implements the server of a node without a disk: a front,
+// Package front implements the server of a node that keeps no state: a front,
 // which accepts clients' requests and sends them to endpoints, or a cache
 // node, which fetches objects for the fronts.
 //
